--- a/crates/tinbank-allocator/src/admission.rs
+++ b/crates/tinbank-allocator/src/admission.rs
@@ -10,11 +10,11 @@
 
 /// What is usual on a route, as measured by the host that asks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Usual {
+pub struct RouteTimings {
     /// Time from sending a request to the first event of its answer, if it does not wait inside the upstream.
     pub first_event: Option<Duration>,
     /// Time for which a request holds its slot.
-    pub held: Option<Duration>,
+    pub slot_time: Option<Duration>,
 }
 
 /// Part of the target that is left for the first event while nothing was measured, one part in so many.
@@ -36,35 +36,35 @@
     /// Time within which its answer is to begin, counted from the caller's first try.
     pub target: Duration,
     /// Its caller has come before, so that its answer is late in any case.
-    pub is_late: bool,
+    pub is_retry: bool,
 }
 
 impl Admission {
     /// Whether the request may wait for a slot. A late one waits until each slot that is in use now is likely to have come
     /// free once: if it had none of them, others will have the next ones too.
-    pub fn queue(&self, usual: Usual, now: Instant) -> Queue {
-        let until = match self.is_late {
+    pub fn queue(&self, usual: RouteTimings, now: Instant) -> Queue {
+        let until = match self.is_retry {
             true => self.hold_until(usual),
             false => self.in_time_until(usual),
         };
         let patience = until.saturating_duration_since(now);
         let patience_ms = patience.as_millis() as u32;
-        match self.is_late {
+        match self.is_retry {
             _ if patience_ms == 0 => Queue::No,
-            true => Queue::Spare(patience_ms),
+            true => Queue::LowPriority(patience_ms),
             false => Queue::Within(patience_ms),
         }
     }
 
     /// When the caller is told to come back after a refusal: when the slots that are in use have come free, and as late again
     /// by chance, so that those who were refused together do not come back together.
-    pub fn retry_after(&self, usual: Usual, draw: u64) -> Duration {
+    pub fn retry_after(&self, usual: RouteTimings, draw: u64) -> Duration {
         let turnover = self.turnover(usual);
         turnover + turnover * (draw % SPREAD) as u32 / SPREAD as u32
     }
 
     /// Until when a slot is early enough for an answer in time.
-    fn in_time_until(&self, usual: Usual) -> Instant {
+    fn in_time_until(&self, usual: RouteTimings) -> Instant {
         let first_event = match usual.first_event {
             Some(measured) => measured * FIRST_EVENTS,
             None => self.target / UNMEASURED_PART,
@@ -73,15 +73,15 @@
         latest.min(self.deadline)
     }
 
-    fn hold_until(&self, usual: Usual) -> Instant {
-        let held = usual.held.unwrap_or_default();
+    fn hold_until(&self, usual: RouteTimings) -> Instant {
+        let held = usual.slot_time.unwrap_or_default();
         let latest = self.deadline.checked_sub(held).unwrap_or(self.received);
         latest.min(self.received + self.turnover(usual))
     }
 
     /// The time in which each slot in use is likely to come free.
-    fn turnover(&self, usual: Usual) -> Duration {
+    fn turnover(&self, usual: RouteTimings) -> Duration {
         let time = self.deadline.saturating_duration_since(self.received);
-        usual.held.unwrap_or(time / UNMEASURED_HOLD_PART)
+        usual.slot_time.unwrap_or(time / UNMEASURED_HOLD_PART)
     }
 }
--- a/crates/tinbank-allocator/src/allocator.rs
+++ b/crates/tinbank-allocator/src/allocator.rs
@@ -13,16 +13,16 @@
 
 use crate::{
     entries::Entries,
-    frame::{Alive, Answer, Frame, Holdings, Release, Verdict},
+    frame::{Frame, HeartbeatReply, Holdings, Release, SlotResponse, Verdict},
     grants::{self, Grants},
     lease::{self, Outcome},
-    pace::Pace,
-    slow_start::Cold,
+    smoothed_duration::SmoothedDuration,
+    slow_start::ColdStart,
     waiting::Waiting,
 };
 
 /// How often a host tells its holdings. It is also the heartbeat between hosts.
-pub const HEARTBEAT: Duration = Duration::from_secs(1);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 /// A lease that its holder has not named for this long is over: three heartbeats and a half.
 const LEASE_TIME: Duration = Duration::from_millis(3_500);
 /// An allocator that has heard of nobody for this long is not one any more: each host tells its holdings at each heartbeat.
@@ -45,7 +45,7 @@
     /// How many requests it works on at once.
     pub slots: usize,
     /// It bears few requests a second for a while.
-    pub cold: Option<Cold>,
+    pub cold: Option<ColdStart>,
 }
 
 /// A datagram to send.
@@ -53,7 +53,7 @@
 
 /// What the allocator believes after a datagram, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum StateChange {
     /// Two hosts had trouble with an upstream; it gets no request for a while.
     Ejected(id::Instance),
     /// A host has heard that the upstream leaves.
@@ -67,16 +67,16 @@
 pub struct Allocator {
     upstreams: Entries,
     /// Some are dealt out no more since the list was told, because hosts have heard that they leave.
-    lacks_upstreams: bool,
+    has_removed_upstreams: bool,
     /// No lease is over before.
     expires_at: Option<Instant>,
     heard_at: Option<Instant>,
     learning_until: Option<Instant>,
     turn: u64,
     /// What it says of its host.
-    alive: Alive,
+    alive: HeartbeatReply,
     /// How long online requests take.
-    pace: Pace,
+    pace: SmoothedDuration,
     /// Online requests for which no slot was free.
     waiting: Waiting,
     /// What customers have used of their allowances.
@@ -90,13 +90,13 @@
     pub fn new(seed: u64, tolerance: Tolerance) -> Self {
         Self {
             upstreams: Entries::default(),
-            lacks_upstreams: false,
+            has_removed_upstreams: false,
             expires_at: None,
             heard_at: None,
             learning_until: None,
             turn: seed,
-            alive: Alive::default(),
-            pace: Pace::default(),
+            alive: HeartbeatReply::default(),
+            pace: SmoothedDuration::default(),
             waiting: Waiting::default(),
             counter: Counter::new(seed, tolerance),
             reach: Reach::default(),
@@ -105,34 +105,34 @@
 
     /// Takes in the upstreams of the failure domain that take requests. Requests that wait for a service that none of them
     /// runs any more are told at once: they may still be in time elsewhere.
-    pub fn list(&mut self, upstreams: Vec<Upstream>) -> Outgoing {
-        self.lacks_upstreams = false;
+    pub fn set_upstreams(&mut self, upstreams: Vec<Upstream>) -> Outgoing {
+        self.has_removed_upstreams = false;
         self.upstreams.replace(upstreams);
         let upstreams = &self.upstreams;
         let is_run = |service: &str| upstreams.iter().any(|it| it.upstream.service == service);
         let in_vain = self.waiting.remove_unless(|ask| is_run(&ask.service));
         let denied = in_vain.into_iter().map(|waiter| {
-            let answer = Answer {
+            let answer = SlotResponse {
                 lease: waiter.ask.lease,
                 verdict: Verdict::Denied,
             };
-            (waiter.from, Frame::Answer(answer))
+            (waiter.from, Frame::SlotResponse(answer))
         });
         denied.collect()
     }
 
     /// True if hosts have heard that upstreams leave which the list named.
-    pub fn lacks_upstreams(&self) -> bool {
-        self.lacks_upstreams
+    pub fn has_removed_upstreams(&self) -> bool {
+        self.has_removed_upstreams
     }
 
     /// Takes in how many hosts are listed.
-    pub fn hosts(&mut self, listed: usize, now: Instant) {
+    pub fn set_host_count(&mut self, listed: usize, now: Instant) {
         self.reach.listed(listed, now);
     }
 
     /// What the allocator is to say of its host in its heartbeats.
-    pub fn announce(&mut self, alive: Alive) {
+    pub fn set_heartbeat_reply(&mut self, alive: HeartbeatReply) {
         self.alive = alive;
     }
 
@@ -142,10 +142,10 @@
         from: SocketAddr,
         frame: Frame,
         now: Instant,
-    ) -> (Outgoing, Option<Change>) {
+    ) -> (Outgoing, Option<StateChange>) {
         let mut out = Outgoing::new();
         let change = match frame {
-            Frame::Ask(ask) => {
+            Frame::SlotRequest(ask) => {
                 let change = self.wake(from, now);
                 self.ask(from, ask, now, &mut out);
                 change
@@ -158,7 +158,7 @@
             Frame::Holdings(holdings) => {
                 let change = self.wake(from, now);
                 self.holdings(from, &holdings, now);
-                out.push((from, Frame::Alive(self.alive)));
+                out.push((from, Frame::HeartbeatReply(self.alive)));
                 change
             }
             Frame::Counts(counts) => {
@@ -166,9 +166,9 @@
                 self.counter.told(from, counts, now);
                 None
             }
-            Frame::Answer(_)
+            Frame::SlotResponse(_)
             | Frame::Reclaim(_)
-            | Frame::Alive(_)
+            | Frame::HeartbeatReply(_)
             | Frame::Ping
             | Frame::Quarantine(_) => {
                 return (out, None);
@@ -179,7 +179,7 @@
     }
 
     /// Forgets all leases, as after a pause of the process: what it believes is as old as the pause.
-    pub fn forget(&mut self, now: Instant) {
+    pub fn forget_leases(&mut self, now: Instant) {
         for entry in self.upstreams.iter_mut() {
             entry.account.grants = Grants::default();
             entry.account.foreign = None;
@@ -192,7 +192,7 @@
 
     /// The upstreams that may work on requests of hosts that were lost. One that was found without any needs no other look: such
     /// requests only become fewer.
-    pub fn unsettled(&self) -> impl Iterator<Item = &Upstream> {
+    pub fn upstreams_to_poll(&self) -> impl Iterator<Item = &Upstream> {
         let unsettled = self.upstreams.iter();
         let unsettled = unsettled.filter(|it| it.account.foreign.is_none_or(|it| it > 0));
         unsettled.map(|entry| &entry.upstream)
@@ -200,7 +200,7 @@
 
     /// Takes in how many requests an upstream says that it has. Those that no known lease is for are of hosts that were
     /// lost: the upstream does not notice at once when a host loses power. They only become fewer.
-    pub fn reported(&mut self, upstream: &id::Instance, requests: usize, now: Instant) -> Outgoing {
+    pub fn record_load(&mut self, upstream: &id::Instance, requests: usize, now: Instant) -> Outgoing {
         let mut out = Outgoing::new();
         if let Some(index) = self.upstreams.find(upstream) {
             self.upstreams[index].account.reported(requests, now);
@@ -210,7 +210,7 @@
     }
 
     /// Upstreams were asked for long enough: what they still work on is not of hosts that were lost.
-    pub fn settle(&mut self) {
+    pub fn clear_orphaned(&mut self) {
         for entry in self.upstreams.iter_mut() {
             entry.account.foreign = None;
         }
@@ -218,14 +218,14 @@
 
     /// True while hosts ask this allocator and it learns, or upstreams work on requests of hosts that were lost. One that
     /// nobody asks any more knows no leases, and would take all that upstreams do for work of lost hosts.
-    pub fn needs_reports(&self, now: Instant) -> bool {
+    pub fn needs_load_reports(&self, now: Instant) -> bool {
         let mut entries = self.upstreams.iter();
         let has_foreign = entries.any(|it| it.account.foreign.is_some_and(|it| it > 0));
         self.is_asked(now) && (self.is_learning(now) || has_foreign)
     }
 
     /// Starts learning if nobody has told anything for longer than a lease holds.
-    fn wake(&mut self, from: SocketAddr, now: Instant) -> Option<Change> {
+    fn wake(&mut self, from: SocketAddr, now: Instant) -> Option<StateChange> {
         let idle = self.heard_at.is_none_or(|at| now > at + LEASE_TIME);
         self.heard_at = Some(now);
         if idle {
@@ -245,7 +245,7 @@
             entry.account.foreign = None;
             entry.account.slow_start.forget(now);
         }
-        Some(Change::Learning)
+        Some(StateChange::Learning)
     }
 
     /// What other allocators have to hear of the customers that this one has let in, while it is one.
@@ -260,7 +260,7 @@
     }
 
     /// Hosts that have told this one their counts at most `age` ago.
-    pub fn tellers(&self, age: Duration, now: Instant) -> impl Iterator<Item = SocketAddr> {
+    pub fn recent_count_senders(&self, age: Duration, now: Instant) -> impl Iterator<Item = SocketAddr> {
         self.reach.tellers(age, now)
     }
 
@@ -284,7 +284,7 @@
         self.expires_at = Some(next.unwrap_or(now + LEASE_TIME));
     }
 
-    fn release(&mut self, from: SocketAddr, release: &Release, now: Instant) -> Option<Change> {
+    fn release(&mut self, from: SocketAddr, release: &Release, now: Instant) -> Option<StateChange> {
         if release.outcome == Outcome::Leaving {
             return self.leave(&release.upstream);
         }
@@ -294,13 +294,13 @@
         let removed = entry.account.grants.remove(from, release.lease);
         let granted_at = removed.and_then(|grant| grant.granted_at);
         if let (Some(at), Outcome::Served) = (granted_at, release.outcome) {
-            self.pace.note(now.saturating_duration_since(at));
+            self.pace.record(now.saturating_duration_since(at));
         }
         let ejected = entry
             .account
             .health
             .note(from, release.outcome, may_eject, now);
-        ejected.then(|| Change::Ejected(release.upstream.clone()))
+        ejected.then(|| StateChange::Ejected(release.upstream.clone()))
     }
 
     /// True if the upstream may be ejected: of those of its service, more than [`MOST_EJECTED_PERCENT`] never are at once,
@@ -321,10 +321,10 @@
 
     /// Deals an upstream out no more, because a host has heard that it leaves. A host's list may be cut off from the
     /// platform while its peers still follow theirs.
-    fn leave(&mut self, upstream: &id::Instance) -> Option<Change> {
+    fn leave(&mut self, upstream: &id::Instance) -> Option<StateChange> {
         let is_known = self.upstreams.remove(upstream);
-        self.lacks_upstreams |= is_known;
-        is_known.then(|| Change::Left(upstream.clone()))
+        self.has_removed_upstreams |= is_known;
+        is_known.then(|| StateChange::Left(upstream.clone()))
     }
 
     fn holdings(&mut self, from: SocketAddr, holdings: &Holdings, now: Instant) {
--- a/crates/tinbank-allocator/src/allocator/ask.rs
+++ b/crates/tinbank-allocator/src/allocator/ask.rs
@@ -6,7 +6,7 @@
 
 use super::{Allocator, LEASE_TIME, Outgoing};
 use crate::{
-    frame::{Answer, Ask, Frame, Grant, OverLimit, Queue, Verdict},
+    frame::{Frame, Grant, OverLimit, Queue, SlotRequest, SlotResponse, Verdict},
     grants,
     lease::{Class, Due},
     waiting::Waiter,
@@ -19,7 +19,7 @@
 
 impl Allocator {
     /// Answers an ask: with a slot, with a place among those that wait, or with neither.
-    pub(super) fn ask(&mut self, from: SocketAddr, ask: Ask, now: Instant, out: &mut Outgoing) {
+    pub(super) fn ask(&mut self, from: SocketAddr, ask: SlotRequest, now: Instant, out: &mut Outgoing) {
         self.expire(now);
         self.waiting.expire(now);
         // An ask that comes again has lost its answer, and gets the same one.
@@ -35,23 +35,23 @@
             self.park(from, &ask, now)
         };
         let lease = ask.lease;
-        out.push((from, Frame::Answer(Answer { lease, verdict })));
+        out.push((from, Frame::SlotResponse(SlotResponse { lease, verdict })));
     }
 
     /// Says so if the customer of a request has used up its allowance. Nothing is taken from it yet.
-    fn over_limit(&mut self, ask: &Ask, now: Instant) -> Option<OverLimit> {
+    fn over_limit(&mut self, ask: &SlotRequest, now: Instant) -> Option<OverLimit> {
         let meter = ask.meter.as_ref()?;
         match self.counter.check(&meter.customer, meter.limit, now) {
             counter::Verdict::Within => None,
             counter::Verdict::Over(over) => Some(OverLimit {
-                returns_in_ms: over.returns_in.as_millis() as u32,
+                retry_after_ms: over.returns_in.as_millis() as u32,
                 level_milli: over.level_milli,
             }),
         }
     }
 
     /// The upstream at which a request may start now.
-    fn choose(&mut self, ask: &Ask, now: Instant, out: &mut Outgoing) -> Option<usize> {
+    fn choose(&mut self, ask: &SlotRequest, now: Instant, out: &mut Outgoing) -> Option<usize> {
         match ask.class {
             Class::Online => self.online(ask, now, out),
             Class::Batch(due) => self.batch(ask, due, now, out),
@@ -59,7 +59,7 @@
     }
 
     /// Enters a lease, or renews it. A new one is counted against its customer's allowance.
-    fn grant(&mut self, index: usize, from: SocketAddr, ask: &Ask, now: Instant) -> Grant {
+    fn grant(&mut self, index: usize, from: SocketAddr, ask: &SlotRequest, now: Instant) -> Grant {
         let learning = self.is_learning(now);
         let entry = &mut self.upstreams[index];
         let is_known = entry.account.grants.has(from, ask.lease);
@@ -88,8 +88,8 @@
     }
 
     /// Lets a request wait if a slot is likely to come free for it in time; else it is told at once.
-    fn park(&mut self, from: SocketAddr, ask: &Ask, now: Instant) -> Verdict {
-        let Some(patience) = ask.queue.patience() else {
+    fn park(&mut self, from: SocketAddr, ask: &SlotRequest, now: Instant) -> Verdict {
+        let Some(patience) = ask.queue.max_wait() else {
             return Verdict::Denied;
         };
         let slots: usize = self
@@ -102,7 +102,7 @@
             return Verdict::Denied;
         }
         let ahead = self.waiting.ahead_of(ask, patience, now);
-        let wait = self.pace.duration() * (ahead + 1) as u32 / slots as u32;
+        let wait = self.pace.get_or_zero() * (ahead + 1) as u32 / slots as u32;
         if wait > patience {
             return Verdict::Denied;
         }
@@ -127,11 +127,11 @@
                 left.push(waiter);
                 continue;
             };
-            let answer = Answer {
+            let answer = SlotResponse {
                 lease: waiter.ask.lease,
                 verdict,
             };
-            out.push((waiter.from, Frame::Answer(answer)));
+            out.push((waiter.from, Frame::SlotResponse(answer)));
         }
         self.waiting.put_back(left);
     }
@@ -143,7 +143,7 @@
     }
 
     /// A free slot, else one reclaimed from batch, else, if it may wait inside it, the least loaded upstream.
-    fn online(&mut self, ask: &Ask, now: Instant, out: &mut Outgoing) -> Option<usize> {
+    fn online(&mut self, ask: &SlotRequest, now: Instant, out: &mut Outgoing) -> Option<usize> {
         let least = self.least(ask, now)?;
         let entry = &self.upstreams[least];
         if entry.load() < entry.upstream.slots {
@@ -153,12 +153,12 @@
             self.reclaim(index, out);
             return Some(index);
         }
-        (ask.queue == Queue::Any).then_some(least)
+        (ask.queue == Queue::InUpstream).then_some(least)
     }
 
     /// A slot if the headroom for online requests stays free beside it. An item that can still be in time takes the
     /// slot of one that can't.
-    fn batch(&mut self, ask: &Ask, due: Due, now: Instant, out: &mut Outgoing) -> Option<usize> {
+    fn batch(&mut self, ask: &SlotRequest, due: Due, now: Instant, out: &mut Outgoing) -> Option<usize> {
         if self.is_learning(now) {
             return None;
         }
@@ -176,7 +176,7 @@
     }
 
     /// True if a slot is free beside those that stay free of batch.
-    fn has_room_for_batch(&self, ask: &Ask, now: Instant) -> bool {
+    fn has_room_for_batch(&self, ask: &SlotRequest, now: Instant) -> bool {
         let fit = self.upstreams.iter().filter(|it| it.takes(ask, now));
         let (mut upstreams, mut free) = (0, 0);
         for entry in fit {
@@ -193,7 +193,7 @@
     }
 
     /// The upstream with the fewest leases; among equals another one at each turn.
-    fn least(&mut self, ask: &Ask, now: Instant) -> Option<usize> {
+    fn least(&mut self, ask: &SlotRequest, now: Instant) -> Option<usize> {
         self.turn = self.turn.wrapping_add(1);
         let count = self.upstreams.len();
         let start = self.turn as usize % count.max(1);
@@ -204,7 +204,7 @@
     }
 
     /// The upstream that runs the batch item that is due last, and when that is.
-    fn reclaimable(&self, ask: &Ask, now: Instant) -> Option<(usize, Due)> {
+    fn reclaimable(&self, ask: &SlotRequest, now: Instant) -> Option<(usize, Due)> {
         (0..self.upstreams.len())
             .filter(|index| self.upstreams[*index].takes(ask, now))
             .filter_map(|index| Some((index, self.upstreams[index].account.grants.last_due()?)))
--- a/crates/tinbank-allocator/src/avoidance.rs
+++ b/crates/tinbank-allocator/src/avoidance.rs
@@ -27,15 +27,15 @@
 
 impl Avoidance {
     /// Takes in how a request of this host ended.
-    pub fn note(&mut self, upstream: &id::Instance, outcome: Outcome, now: Instant) {
+    pub fn record_outcome(&mut self, upstream: &id::Instance, outcome: Outcome, now: Instant) {
         let time = match outcome {
-            Outcome::Failed | Outcome::Silent => AFTER_TROUBLE,
+            Outcome::Failed | Outcome::Unresponsive => AFTER_TROUBLE,
             Outcome::Refused => AFTER_REFUSAL,
             Outcome::Served => {
                 self.until.remove(upstream);
                 return;
             }
-            Outcome::Unused | Outcome::Leaving => return,
+            Outcome::Inconclusive | Outcome::Leaving => return,
         };
         self.until.insert(upstream.clone(), now + time);
     }
--- a/crates/tinbank-allocator/src/directory.rs
+++ b/crates/tinbank-allocator/src/directory.rs
@@ -117,7 +117,7 @@
 
 impl Directory {
     /// Takes in the list of hosts.
-    pub fn list(&mut self, mut peers: Vec<Peer>) {
+    pub fn set_hosts(&mut self, mut peers: Vec<Peer>) {
         let listed: HashSet<SocketAddr> = peers.iter().map(|peer| peer.address).collect();
         let is_listed = |address: &SocketAddr| listed.contains(address);
         self.silent.retain(|address, _| is_listed(address));
@@ -137,7 +137,7 @@
     }
 
     /// Number of hosts that are listed.
-    pub fn hosts(&self) -> usize {
+    pub fn host_count(&self) -> usize {
         self.peers.len()
     }
 
@@ -182,12 +182,12 @@
     }
 
     /// Takes in that a heartbeat was sent to a host.
-    pub fn told(&mut self, address: SocketAddr, now: Instant) {
+    pub fn record_heartbeat_sent(&mut self, address: SocketAddr, now: Instant) {
         self.sent.insert(address, now);
     }
 
     /// Takes in that a host has answered a heartbeat.
-    pub fn answered(&mut self, address: SocketAddr, now: Instant) {
+    pub fn record_heartbeat_reply(&mut self, address: SocketAddr, now: Instant) {
         let Some(sent) = self.sent.remove(&address) else {
             return;
         };
@@ -197,20 +197,20 @@
     }
 
     /// How long a host may take to answer an ask, by how far away it is.
-    pub fn patience(&self, address: SocketAddr) -> Duration {
+    pub fn response_timeout(&self, address: SocketAddr) -> Duration {
         let round_trip = self.round_trips.get(&address).copied();
         let needed = round_trip.unwrap_or_default() * ROUND_TRIPS;
         needed.clamp(LEAST_PATIENCE, MOST_PATIENCE)
     }
 
     /// Takes in that a host has sent a datagram. True if it had been passed over.
-    pub fn heard(&mut self, address: SocketAddr) -> bool {
+    pub fn record_datagram(&mut self, address: SocketAddr) -> bool {
         let silence = self.silent.remove(&address);
         silence.is_some_and(|silence| silence.strikes > 0)
     }
 
     /// Takes in that an answer of a host is missing. True if it is passed over from now on.
-    pub fn missed(&mut self, address: SocketAddr, now: Instant) -> bool {
+    pub fn record_timeout(&mut self, address: SocketAddr, now: Instant) -> bool {
         if self.is_silent(address, now) {
             return false;
         }
@@ -230,7 +230,7 @@
     }
 
     /// Hosts that were passed over and whose time is up; they are asked for a heartbeat before they count again.
-    pub fn due(&self, now: Instant) -> SmallVec<[SocketAddr; 4]> {
+    pub fn hosts_to_probe(&self, now: Instant) -> SmallVec<[SocketAddr; 4]> {
         let silent = self.silent.iter();
         let due = silent.filter(|(_, it)| it.strikes > 0 && it.until <= now);
         due.map(|(address, _)| *address).collect()
--- a/crates/tinbank-allocator/src/entry.rs
+++ b/crates/tinbank-allocator/src/entry.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use crate::{
-    allocator::Upstream, frame::Ask, grants::Grants, health::Health, slow_start::SlowStart,
+    allocator::Upstream, frame::SlotRequest, grants::Grants, health::Health, slow_start::SlowStart,
 };
 
 /// By how much reports of upstreams lag: the platform says some hundred milliseconds. With half a second all that was
@@ -47,7 +47,7 @@
     }
 
     /// True if the upstream may get the request.
-    pub fn takes(&self, ask: &Ask, now: Instant) -> bool {
+    pub fn takes(&self, ask: &SlotRequest, now: Instant) -> bool {
         self.upstream.service == ask.service
             && !ask.exclude.contains(&self.upstream.instance)
             && !self.account.health.ejected(now)
--- a/crates/tinbank-allocator/src/frame.rs
+++ b/crates/tinbank-allocator/src/frame.rs
@@ -13,7 +13,7 @@
 /// First byte of each datagram; a host ignores datagrams of another version.
 const VERSION: u8 = 5;
 /// Largest datagram in bytes. Source: the holdings of a host with 200 requests at upstreams; most fit in one packet.
-pub const MAX_BYTES: usize = 8 << 10;
+pub const MAX_DATAGRAM_BYTES: usize = 8 << 10;
 
 /// A datagram that can't be understood.
 #[derive(Debug, thiserror::Error)]
@@ -33,9 +33,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Frame {
     /// A host asks for a slot.
-    Ask(Ask),
+    SlotRequest(SlotRequest),
     /// The allocator's answer.
-    Answer(Answer),
+    SlotResponse(SlotResponse),
     /// A host gives a slot back.
     Release(Release),
     /// A request waits for a slot no more.
@@ -45,7 +45,7 @@
     /// What a host holds in the allocator's failure domain; also the host's heartbeat.
     Holdings(Holdings),
     /// The allocator has heard the holdings; also its heartbeat.
-    Alive(Alive),
+    HeartbeatReply(HeartbeatReply),
     /// What another allocator has let in of customers.
     Counts(Counts),
     /// A host asks a delegate that is not its allocator for a heartbeat.
@@ -56,7 +56,7 @@
 
 /// A request for one slot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct SlotRequest {
     /// Number that the asking host gives the lease.
     pub lease: lease::Id,
     /// What the slot is for.
@@ -90,33 +90,33 @@
     /// It may wait for a slot for this long: it can be in time.
     Within(u32),
     /// It may wait for this long for a slot that no request that can be in time waits for.
-    Spare(u32),
+    LowPriority(u32),
     /// It may be sent to an upstream whose slots are all in use, and wait inside it.
-    Any,
+    InUpstream,
 }
 
 impl Queue {
     /// How long the request may wait at the allocator.
-    pub fn patience(self) -> Option<Duration> {
+    pub fn max_wait(self) -> Option<Duration> {
         match self {
-            Self::Within(patience_ms) | Self::Spare(patience_ms) => {
+            Self::Within(patience_ms) | Self::LowPriority(patience_ms) => {
                 Some(Duration::from_millis(patience_ms.into()))
             }
-            Self::No | Self::Any => None,
+            Self::No | Self::InUpstream => None,
         }
     }
 }
 
-/// An answer to an [`Ask`].
+/// An answer to an [`SlotRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct SlotResponse {
     /// The lease asked for.
     pub lease: lease::Id,
     /// What becomes of it.
     pub verdict: Verdict,
 }
 
-/// What an allocator says to an [`Ask`].
+/// What an allocator says to an [`SlotRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
     /// There is a slot.
@@ -133,7 +133,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OverLimit {
     /// When the request may come again.
-    pub returns_in_ms: u32,
+    pub retry_after_ms: u32,
     /// What is left of the allowance by the allocator's count, in thousandths of a request.
     pub level_milli: i64,
 }
@@ -162,7 +162,7 @@
 
 /// What an allocator says of its host in its heartbeat.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Alive {
+pub struct HeartbeatReply {
     /// It has read the platform's store a moment ago, so hosts that can't may pass calls on to it.
     pub reaches_store: bool,
 }
--- a/crates/tinbank-allocator/src/health.rs
+++ b/crates/tinbank-allocator/src/health.rs
@@ -48,7 +48,7 @@
     ) -> bool {
         match outcome {
             // A full upstream refuses, and to eject it would only load the others more.
-            Outcome::Unused | Outcome::Leaving | Outcome::Refused => false,
+            Outcome::Inconclusive | Outcome::Leaving | Outcome::Refused => false,
             Outcome::Served => {
                 self.failing -= self.failing / SMOOTHING;
                 self.reports.retain(|report| report.by != by);
@@ -57,7 +57,7 @@
                 }
                 false
             }
-            Outcome::Failed | Outcome::Silent => self.trouble(by, may_eject, now),
+            Outcome::Failed | Outcome::Unresponsive => self.trouble(by, may_eject, now),
         }
     }
 
--- a/crates/tinbank-allocator/src/lease.rs
+++ b/crates/tinbank-allocator/src/lease.rs
@@ -48,13 +48,13 @@
     /// The upstream answered as it should.
     Served,
     /// The request ended for a reason that says nothing about the upstream.
-    Unused,
+    Inconclusive,
     /// The upstream refused the request without running it.
     Refused,
     /// The upstream answered with an error of its own, or broke its answer off.
     Failed,
     /// The upstream could not be reached, or fell silent.
-    Silent,
+    Unresponsive,
     /// The upstream is leaving or gone, by a newer list than the allocator has.
     Leaving,
 }
--- a/crates/tinbank-allocator/src/lib.rs
+++ b/crates/tinbank-allocator/src/lib.rs
@@ -14,7 +14,7 @@
 mod grants;
 mod health;
 pub mod lease;
-pub mod pace;
+pub mod smoothed_duration;
 pub mod slow_start;
 mod waiting;
 
--- a/crates/tinbank-allocator/src/slow_start.rs
+++ b/crates/tinbank-allocator/src/slow_start.rs
@@ -16,7 +16,7 @@
 
 /// Until when an upstream is cold, and what it bears.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Cold {
+pub struct ColdStart {
     /// From then on it bears what its slots say.
     pub until: Instant,
     /// Requests a second that it bears until then.
@@ -33,7 +33,7 @@
 
 impl SlowStart {
     /// True if the upstream bears one more request now.
-    pub fn allows(&self, cold: Option<Cold>, now: Instant) -> bool {
+    pub fn allows(&self, cold: Option<ColdStart>, now: Instant) -> bool {
         let Some(cold) = cold.filter(|it| now < it.until) else {
             return true;
         };
--- a/crates/tinbank-allocator/src/pace.rs
+++ b/crates/tinbank-allocator/src/smoothed_duration.rs
@@ -9,11 +9,11 @@
 
 /// A smoothed time, such as that for which an online request holds its slot.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pace(Option<Duration>);
+pub struct SmoothedDuration(Option<Duration>);
 
-impl Pace {
+impl SmoothedDuration {
     /// Takes in a request that was served.
-    pub fn note(&mut self, took: Duration) {
+    pub fn record(&mut self, took: Duration) {
         self.0 = Some(match self.0 {
             None => took,
             Some(before) => (before * (SMOOTHING - 1) + took) / SMOOTHING,
@@ -21,12 +21,12 @@
     }
 
     /// The smoothed time, if any was taken in.
-    pub fn measured(self) -> Option<Duration> {
+    pub fn get(self) -> Option<Duration> {
         self.0
     }
 
     /// The smoothed time, or none at all.
-    pub fn duration(self) -> Duration {
+    pub fn get_or_zero(self) -> Duration {
         self.0.unwrap_or(UNKNOWN)
     }
 }
--- a/crates/tinbank-allocator/src/waiting.rs
+++ b/crates/tinbank-allocator/src/waiting.rs
@@ -10,7 +10,7 @@
 };
 
 use crate::{
-    frame::{Ask, Queue},
+    frame::{Queue, SlotRequest},
     lease,
 };
 
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Waiter {
     pub from: SocketAddr,
-    pub ask: Ask,
+    pub ask: SlotRequest,
     /// When it has to be told that there is no slot for it.
     until: Instant,
 }
@@ -34,8 +34,8 @@
 
 /// Those that can be in time come first, among them those of higher rank, and among equals those whose time is up first. A
 /// late one of high rank stands behind: it would make one late that is not.
-fn place(ask: &Ask, until: Instant) -> Place {
-    (matches!(ask.queue, Queue::Spare(_)), ask.rank, until)
+fn place(ask: &SlotRequest, until: Instant) -> Place {
+    (matches!(ask.queue, Queue::LowPriority(_)), ask.rank, until)
 }
 
 /// All requests that wait, those that get a slot next first.
@@ -44,7 +44,7 @@
 
 impl Waiting {
     /// Takes a request in.
-    pub fn add(&mut self, from: SocketAddr, ask: Ask, patience: Duration, now: Instant) {
+    pub fn add(&mut self, from: SocketAddr, ask: SlotRequest, patience: Duration, now: Instant) {
         let waiter = Waiter {
             from,
             ask,
@@ -66,7 +66,7 @@
     }
 
     /// Takes out those for which something does not hold.
-    pub fn remove_unless(&mut self, holds: impl Fn(&Ask) -> bool) -> Vec<Waiter> {
+    pub fn remove_unless(&mut self, holds: impl Fn(&SlotRequest) -> bool) -> Vec<Waiter> {
         let (kept, removed) = self.take().into_iter().partition(|it| holds(&it.ask));
         self.0 = kept;
         removed
@@ -78,7 +78,7 @@
     }
 
     /// How many requests of its service would get a slot before this one.
-    pub fn ahead_of(&self, ask: &Ask, patience: Duration, now: Instant) -> usize {
+    pub fn ahead_of(&self, ask: &SlotRequest, patience: Duration, now: Instant) -> usize {
         let place = place(ask, now + patience);
         let ahead = self.0.iter().filter(|it| it.ask.service == ask.service);
         ahead.filter(|it| it.place() <= place).count()
--- a/crates/tinbank-allocator/tests/allocator.rs
+++ b/crates/tinbank-allocator/tests/allocator.rs
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 use tinbank_allocator::{
     Allocator,
-    allocator::Change,
+    allocator::StateChange,
     frame::{Frame, Queue, Release},
     lease::{Class, Due, Held, Outcome},
 };
@@ -72,9 +72,9 @@
     let held = desk.ask_held(0, Class::Online);
 
     let change = desk.release(0, held, Outcome::Leaving);
-    let next = desk.ask(1, Class::Online, Queue::Any);
+    let next = desk.ask(1, Class::Online, Queue::InUpstream);
 
-    assert_eq!(change, Some(Change::Left(upstream(0).instance)));
+    assert_eq!(change, Some(StateChange::Left(upstream(0).instance)));
     assert_eq!(next, None);
 }
 
@@ -83,16 +83,16 @@
     let mut desk = Desk::learned(1);
     for _ in 0..3 {
         let held = desk.ask_held(0, Class::Online);
-        desk.release(0, held, Outcome::Silent);
+        desk.release(0, held, Outcome::Unresponsive);
     }
     let by_one = desk.ask_held(1, Class::Online);
 
     let change = desk.release(1, by_one, Outcome::Failed);
-    let meanwhile = desk.ask(2, Class::Online, Queue::Any);
+    let meanwhile = desk.ask(2, Class::Online, Queue::InUpstream);
     desk.now += Duration::from_secs(2);
-    let later = desk.ask(2, Class::Online, Queue::Any);
+    let later = desk.ask(2, Class::Online, Queue::InUpstream);
 
-    assert_eq!(change, Some(Change::Ejected(upstream(0).instance)));
+    assert_eq!(change, Some(StateChange::Ejected(upstream(0).instance)));
     assert_eq!(meanwhile, None);
     assert!(later.is_some());
 }
@@ -107,8 +107,8 @@
     for _ in 0..40 {
         for host in [0, 1, 2] {
             let held = desk.ask_held(host, Class::Online);
-            let change = desk.release(host, held, Outcome::Silent);
-            ejected += usize::from(matches!(change, Some(Change::Ejected(_))));
+            let change = desk.release(host, held, Outcome::Unresponsive);
+            ejected += usize::from(matches!(change, Some(StateChange::Ejected(_))));
         }
     }
 
@@ -124,8 +124,8 @@
 
     for round in 0..200 {
         let (host, outcome) = match round % 20 {
-            9 => (0, Outcome::Silent),
-            19 => (1, Outcome::Silent),
+            9 => (0, Outcome::Unresponsive),
+            19 => (1, Outcome::Unresponsive),
             _ => (2, Outcome::Served),
         };
         let held = desk.ask_held(host, Class::Online);
@@ -153,7 +153,7 @@
 
     let queued: Vec<bool> = (0..=SLOTS)
         .map(|_| {
-            desk.ask(0, Class::Online, Queue::Any).unwrap();
+            desk.ask(0, Class::Online, Queue::InUpstream).unwrap();
             desk.queued
         })
         .collect();
@@ -202,12 +202,12 @@
     let mut desk = Desk::learned(2);
     let (busy, idle) = (upstream(0).instance, upstream(1).instance);
 
-    desk.allocator.reported(&busy, SLOTS, desk.now);
+    desk.allocator.record_load(&busy, SLOTS, desk.now);
     let while_busy: Vec<_> = (0..SLOTS + 1)
         .map(|_| desk.ask(0, Class::Online, Queue::No))
         .collect();
     desk.now += Duration::from_secs(1);
-    desk.allocator.reported(&busy, 1, desk.now);
+    desk.allocator.record_load(&busy, 1, desk.now);
     let later = (0..SLOTS).filter_map(|_| desk.ask(0, Class::Online, Queue::No));
 
     let mut expected = vec![Some(idle); SLOTS];
@@ -222,7 +222,7 @@
     desk.ask(0, Class::Online, Queue::No).unwrap();
     desk.now += Duration::from_millis(250);
 
-    desk.allocator.reported(&upstream(0).instance, 1, desk.now);
+    desk.allocator.record_load(&upstream(0).instance, 1, desk.now);
 
     let free = (0..SLOTS).filter_map(|_| desk.ask(0, Class::Online, Queue::No));
     assert_eq!(free.count(), SLOTS - 1);
@@ -233,19 +233,19 @@
 fn an_allocator_that_nobody_asks_needs_no_reports() {
     let mut desk = Desk::learned(1);
     desk.allocator
-        .reported(&upstream(0).instance, SLOTS, desk.now);
-    let while_asked = desk.allocator.needs_reports(desk.now);
+        .record_load(&upstream(0).instance, SLOTS, desk.now);
+    let while_asked = desk.allocator.needs_load_reports(desk.now);
 
     desk.now += Duration::from_millis(2_100);
 
     assert!(while_asked);
-    assert!(!desk.allocator.needs_reports(desk.now));
+    assert!(!desk.allocator.needs_load_reports(desk.now));
 }
 
 #[test]
 fn what_a_host_tells_that_it_holds_is_no_lost_host_s() {
     let mut desk = Desk::learned(1);
-    desk.allocator.reported(&upstream(0).instance, 2, desk.now);
+    desk.allocator.record_load(&upstream(0).instance, 2, desk.now);
     let held = (0..2).map(|lease| Held {
         lease: 1_000 + lease,
         upstream: upstream(0).instance,
@@ -304,7 +304,7 @@
 fn a_second_allocator_that_knows_nothing_harms_nobody() {
     let now = Instant::now();
     let mut other = Allocator::new(9, Tolerance::default());
-    other.list(vec![upstream(0)]);
+    other.set_upstreams(vec![upstream(0)]);
     let release = Release {
         lease: 4,
         upstream: upstream(0).instance,
--- a/crates/tinbank-allocator/tests/avoidance.rs
+++ b/crates/tinbank-allocator/tests/avoidance.rs
@@ -8,11 +8,11 @@
 #[parameterized(
     failed = { &[Outcome::Failed], 1_400, true },
     failed_long_ago = { &[Outcome::Failed], 1_600, false },
-    silent = { &[Outcome::Silent], 1_400, true },
+    silent = { &[Outcome::Unresponsive], 1_400, true },
     refused = { &[Outcome::Refused], 300, true },
     refused_a_moment_ago = { &[Outcome::Refused], 500, false },
     served_since = { &[Outcome::Failed, Outcome::Served], 0, false },
-    ended_for_another_reason_since = { &[Outcome::Failed, Outcome::Unused], 0, true },
+    ended_for_another_reason_since = { &[Outcome::Failed, Outcome::Inconclusive], 0, true },
     leaving = { &[Outcome::Leaving], 0, false },
 )]
 fn an_upstream_is_avoided_after_trouble(outcomes: &[Outcome], after_ms: u64, expected: bool) {
@@ -20,7 +20,7 @@
     let upstream = "u1".into();
     let mut avoidance = Avoidance::default();
     for outcome in outcomes {
-        avoidance.note(&upstream, *outcome, now);
+        avoidance.record_outcome(&upstream, *outcome, now);
     }
 
     let avoided = avoidance.upstreams(now + Duration::from_millis(after_ms));
--- a/crates/tinbank-allocator/tests/cold.rs
+++ b/crates/tinbank-allocator/tests/cold.rs
@@ -10,9 +10,9 @@
 use tinbank_allocator::{
     Allocator,
     allocator::{Outgoing, Upstream},
-    frame::{Ask, Frame, Holdings, Queue, Release, Verdict},
+    frame::{Frame, Holdings, Queue, Release, SlotRequest, Verdict},
     lease::{Class, Outcome},
-    slow_start::Cold,
+    slow_start::ColdStart,
 };
 use tinbank_allowance::Tolerance;
 use tinbank_base::id;
@@ -31,7 +31,7 @@
     SocketAddr::from(([10, 0, high, low], 7000))
 }
 
-fn upstream(index: usize, cold: Option<Cold>) -> Upstream {
+fn upstream(index: usize, cold: Option<ColdStart>) -> Upstream {
     Upstream {
         instance: format!("u{index}").into(),
         address: SocketAddr::from(([10, 1, 0, index as u8], 8000)),
@@ -41,8 +41,8 @@
     }
 }
 
-fn ask(lease: u64) -> Ask {
-    Ask {
+fn ask(lease: u64) -> SlotRequest {
+    SlotRequest {
         lease,
         class: Class::Online,
         service: "notes".to_owned(),
@@ -67,7 +67,7 @@
     /// Upstreams that stay cold for so long, dealt out by as many allocators, of which none knows of the other.
     fn new(upstreams: usize, allocators: usize, cold_for: Duration) -> Self {
         let now = Instant::now();
-        let cold = Cold {
+        let cold = ColdStart {
             until: now + cold_for,
             per_second: BORNE,
         };
@@ -89,7 +89,7 @@
     /// Another host takes over, and knows of nothing.
     fn add_allocator(&mut self) {
         let mut allocator = Allocator::new(self.next, Tolerance::default());
-        allocator.list(self.upstreams.clone());
+        allocator.set_upstreams(self.upstreams.clone());
         self.allocators.push(allocator);
     }
 
@@ -111,14 +111,14 @@
             }
             let lease = self.next;
             self.next += 1;
-            let (out, _) = self.allocators[to].receive(from, Frame::Ask(ask(lease)), self.now);
+            let (out, _) = self.allocators[to].receive(from, Frame::SlotRequest(ask(lease)), self.now);
             self.take(out, to, from);
         }
     }
 
     fn take(&mut self, out: Outgoing, allocator: usize, from: SocketAddr) {
         for (_, frame) in out {
-            let Frame::Answer(answer) = frame else {
+            let Frame::SlotResponse(answer) = frame else {
                 continue;
             };
             if let Verdict::Granted(grant) = answer.verdict {
@@ -213,12 +213,12 @@
     let warm = play.most_in_a_second();
     play.given.clear();
 
-    let cold = Cold {
+    let cold = ColdStart {
         until: play.now + Duration::from_secs(5),
         per_second: BORNE,
     };
     play.upstreams[0].cold = Some(cold);
-    play.allocators[0].list(play.upstreams.clone());
+    play.allocators[0].set_upstreams(play.upstreams.clone());
     play.run(Duration::from_secs(4), 60, None);
 
     assert!(warm > 2 * BORNE as usize, "{warm}");
--- a/crates/tinbank-allocator/tests/directory.rs
+++ b/crates/tinbank-allocator/tests/directory.rs
@@ -36,7 +36,7 @@
 
 fn directory() -> Directory {
     let mut directory = Directory::default();
-    directory.list(vec![
+    directory.set_hosts(vec![
         peer(1, "north"),
         peer(2, "north"),
         peer(3, "north"),
@@ -48,15 +48,15 @@
 
 /// Misses answers of a host until it is passed over.
 fn silence(directory: &mut Directory, host: SocketAddr, now: Instant) {
-    directory.missed(host, now);
-    directory.missed(host, now);
+    directory.record_timeout(host, now);
+    directory.record_timeout(host, now);
 }
 
 #[test]
 fn all_hosts_ask_the_same_one() {
     let now = Instant::now();
     let mut other = Directory::default();
-    other.list(vec![peer(3, "north"), peer(1, "north"), peer(2, "north")]);
+    other.set_hosts(vec![peer(3, "north"), peer(1, "north"), peer(2, "north")]);
 
     let asked = directory().allocator("north", now);
 
@@ -70,10 +70,10 @@
     let mut directory = directory();
     let first = directory.allocator("north", now).unwrap();
 
-    let at_first = directory.missed(first, now);
+    let at_first = directory.record_timeout(first, now);
     let asked = directory.allocator("north", now).unwrap();
-    let moved = directory.missed(first, now);
-    let moved_again = directory.missed(first, now);
+    let moved = directory.record_timeout(first, now);
+    let moved_again = directory.record_timeout(first, now);
     let second = directory.allocator("north", now).unwrap();
     let later = now + Duration::from_secs(2);
 
@@ -82,8 +82,8 @@
     assert!(moved);
     assert!(!moved_again);
     assert_ne!(first, second);
-    assert!(directory.due(now).is_empty());
-    assert_eq!(directory.due(later).as_slice(), [first]);
+    assert!(directory.hosts_to_probe(now).is_empty());
+    assert_eq!(directory.hosts_to_probe(later).as_slice(), [first]);
 }
 
 /// With one packet in forty lost, hosts passed over allocators some forty times a second, and each of
@@ -95,8 +95,8 @@
     let first = directory.allocator("north", now).unwrap();
 
     for _ in 0..20 {
-        assert!(!directory.missed(first, now));
-        assert!(!directory.heard(first));
+        assert!(!directory.record_timeout(first, now));
+        assert!(!directory.record_datagram(first));
     }
 
     assert_eq!(directory.allocator("north", now), Some(first));
@@ -109,14 +109,14 @@
     let (near, far) = (peer(1, "north").address, peer(4, "south").address);
 
     for _ in 0..20 {
-        directory.told(near, now);
-        directory.told(far, now);
-        directory.answered(near, now + Duration::from_millis(2));
-        directory.answered(far, now + Duration::from_millis(30));
+        directory.record_heartbeat_sent(near, now);
+        directory.record_heartbeat_sent(far, now);
+        directory.record_heartbeat_reply(near, now + Duration::from_millis(2));
+        directory.record_heartbeat_reply(far, now + Duration::from_millis(30));
         now += Duration::from_secs(1);
     }
 
-    let millis = |host| directory.patience(host).as_millis();
+    let millis = |host| directory.response_timeout(host).as_millis();
     assert_eq!((millis(near), millis(far)), (25, 90));
     assert_eq!(millis(peer(5, "west").address), 25);
 }
@@ -126,11 +126,11 @@
     let now = Instant::now();
     let mut directory = directory();
     let host = peer(1, "north").address;
-    directory.told(host, now);
+    directory.record_heartbeat_sent(host, now);
 
-    directory.answered(host, now + Duration::from_secs(2));
+    directory.record_heartbeat_reply(host, now + Duration::from_secs(2));
 
-    assert_eq!(directory.patience(host), Duration::from_millis(150));
+    assert_eq!(directory.response_timeout(host), Duration::from_millis(150));
 }
 
 #[test]
@@ -140,7 +140,7 @@
     let first = directory.allocator("north", now).unwrap();
     silence(&mut directory, first, now);
 
-    let was_silent = directory.heard(first);
+    let was_silent = directory.record_datagram(first);
 
     assert!(was_silent);
     assert_eq!(directory.allocator("north", now), Some(first));
@@ -155,10 +155,10 @@
     now += Duration::from_secs(2);
 
     // It was not heard since, so one more is enough.
-    directory.missed(first, now);
+    directory.record_timeout(first, now);
 
-    assert!(directory.due(now + Duration::from_secs(3)).is_empty());
-    assert_eq!(directory.due(now + Duration::from_secs(4)).len(), 1);
+    assert!(directory.hosts_to_probe(now + Duration::from_secs(3)).is_empty());
+    assert_eq!(directory.hosts_to_probe(now + Duration::from_secs(4)).len(), 1);
 }
 
 #[test]
@@ -203,7 +203,7 @@
     let weak = (1..=40).map(|index| peer_with(index, "north", WEAK));
     let strong = (41..=43).map(|index| peer(index, "north"));
     let mut directory = Directory::default();
-    directory.list(weak.chain(strong).collect());
+    directory.set_hosts(weak.chain(strong).collect());
 
     let delegates = directory.delegates("north", now);
 
@@ -225,7 +225,7 @@
             memory_mb: 300,
             ..STRONG
         };
-        directory.list(vec![
+        directory.set_hosts(vec![
             peer_with(index, "north", smaller),
             peer(index + 100, "north"),
         ]);
@@ -240,7 +240,7 @@
 fn the_next_hosts_take_over_from_delegates_that_are_silent() {
     let now = Instant::now();
     let mut directory = Directory::default();
-    directory.list((1..=9).map(|index| peer(index, "north")).collect());
+    directory.set_hosts((1..=9).map(|index| peer(index, "north")).collect());
     let before: Vec<SocketAddr> = addresses(&directory, now);
 
     for host in &before {
--- a/crates/tinbank-allocator/tests/frame.rs
+++ b/crates/tinbank-allocator/tests/frame.rs
@@ -2,14 +2,14 @@
 
 use proptest::prelude::*;
 use tinbank_allocator::{
-    frame::{Ask, Error, Frame, Holdings, MAX_BYTES, Meter, Queue},
+    frame::{Error, Frame, Holdings, MAX_DATAGRAM_BYTES, Meter, Queue, SlotRequest},
     lease::{Class, Held},
 };
 use tinbank_allowance::Limit;
 use tinbank_test_support::property;
 
 fn ask() -> Frame {
-    Frame::Ask(Ask {
+    Frame::SlotRequest(SlotRequest {
         lease: 7,
         class: Class::Online,
         service: "notes".to_owned(),
@@ -52,7 +52,7 @@
         held: held.collect(),
     });
 
-    assert!(frame.encode().unwrap().len() < MAX_BYTES);
+    assert!(frame.encode().unwrap().len() < MAX_DATAGRAM_BYTES);
 }
 
 proptest! {
--- a/crates/tinbank-allocator/tests/load/play.rs
+++ b/crates/tinbank-allocator/tests/load/play.rs
@@ -9,9 +9,9 @@
 
 use tinbank_allocator::{
     Allocator,
-    admission::{Admission, Usual},
+    admission::{Admission, RouteTimings},
     allocator,
-    frame::{Answer, Ask, Frame, Holdings, Queue, Release, Verdict},
+    frame::{Frame, Holdings, Queue, Release, SlotRequest, SlotResponse, Verdict},
     lease::{Class, Due, Held, Outcome},
 };
 use tinbank_allowance::Tolerance;
@@ -159,7 +159,7 @@
                 slots: load.slots,
                 cold: None,
             });
-            play.allocators[domain].list(listed.collect());
+            play.allocators[domain].set_upstreams(listed.collect());
             let all = (0..load.upstreams).map(|index| Upstream::new(load.slots, index < load.slow));
             play.upstreams.push(all.collect());
             play.at(Duration::ZERO, Event::Heartbeat(domain));
@@ -259,20 +259,20 @@
             received: caller.received,
             deadline: caller.deadline,
             target: self.load.target,
-            is_late: caller.tries > 1 && self.load.policy != Policy::LateAsNew,
+            is_retry: caller.tries > 1 && self.load.policy != Policy::LateAsNew,
         }
     }
 
-    fn usual(&self) -> Usual {
-        Usual {
+    fn usual(&self) -> RouteTimings {
+        RouteTimings {
             first_event: Some(self.load.first_event),
-            held: Some(self.load.held),
+            slot_time: Some(self.load.held),
         }
     }
 
     fn queue(&self, number: Number) -> Queue {
         match self.load.policy {
-            Policy::InsideUpstreams => Queue::Any,
+            Policy::InsideUpstreams => Queue::InUpstream,
             _ => self.admission(number).queue(self.usual(), self.now),
         }
     }
@@ -290,7 +290,7 @@
         self.tell_ask(number);
         // An ask whose answer is lost is sent again.
         self.at(10 * WAY, Event::Renews(number, turn));
-        let patience = queue.patience().unwrap_or(25 * WAY);
+        let patience = queue.max_wait().unwrap_or(25 * WAY);
         self.at(patience.max(25 * WAY), Event::TimeUp(number, turn));
     }
 
@@ -300,7 +300,7 @@
             late: false,
             at_ms: number as u64,
         };
-        let ask = Ask {
+        let ask = SlotRequest {
             lease: lease(number, work.turn),
             class: if work.is_batch {
                 Class::Batch(due)
@@ -316,7 +316,7 @@
         let event = Event::Told(
             work.domain,
             host(number % self.load.failure_domains),
-            Frame::Ask(ask),
+            Frame::SlotRequest(ask),
         );
         self.send(event);
     }
@@ -340,7 +340,7 @@
         let work = &self.work[&number];
         let frame = Frame::Withdraw(lease(number, work.turn));
         let event = Event::Told(work.domain, host(number % self.load.failure_domains), frame);
-        let has_waited = work.queue.and_then(Queue::patience).is_some();
+        let has_waited = work.queue.and_then(Queue::max_wait).is_some();
         self.send(event);
         match has_waited {
             true => self.refuse(number),
@@ -350,7 +350,7 @@
 
     fn heard(&mut self, frame: Frame) {
         match frame {
-            Frame::Answer(Answer { lease, verdict }) => self.answered(lease, verdict),
+            Frame::SlotResponse(SlotResponse { lease, verdict }) => self.answered(lease, verdict),
             Frame::Reclaim(lease) => {
                 let (number, turn) = request(lease);
                 if self.is_current(number, turn) {
@@ -383,7 +383,7 @@
                 let release = Release {
                     lease,
                     upstream: grant.upstream,
-                    outcome: Outcome::Unused,
+                    outcome: Outcome::Inconclusive,
                 };
                 let from = host(number % self.load.failure_domains);
                 self.send(Event::Told(domain, from, Frame::Release(release)));
@@ -512,7 +512,7 @@
             let frame = Frame::Holdings(Holdings { next: 0, held });
             self.send(Event::Told(to, host(domain), frame));
         }
-        self.at(allocator::HEARTBEAT, Event::Heartbeat(domain));
+        self.at(allocator::HEARTBEAT_INTERVAL, Event::Heartbeat(domain));
     }
 }
 
--- a/crates/tinbank-allocator/tests/waiting.rs
+++ b/crates/tinbank-allocator/tests/waiting.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use tinbank_allocator::{
-    frame::{Answer, Frame, Queue, Verdict},
+    frame::{Frame, Queue, SlotResponse, Verdict},
     lease::{Class, Id, Outcome},
 };
 use world::{Desk, SLOTS, batch};
@@ -49,7 +49,7 @@
 
     assert_eq!((too_short, first, second), (0, 1, 1));
     assert_eq!(desk.waiting.len(), 1);
-    assert!(desk.ask(0, Class::Online, Queue::Any).is_some());
+    assert!(desk.ask(0, Class::Online, Queue::InUpstream).is_some());
 }
 
 #[test]
@@ -69,7 +69,7 @@
 #[test]
 fn a_late_request_waits_behind_all_that_can_be_in_time() {
     let (mut desk, leases) = full(1);
-    let late = wait(&mut desk, 0, Queue::Spare(700));
+    let late = wait(&mut desk, 0, Queue::LowPriority(700));
     desk.now += Duration::from_millis(100);
     let new = wait(&mut desk, 1, Queue::Within(250));
 
@@ -98,12 +98,12 @@
     wait(&mut desk, 0, Queue::Within(210));
     let before = desk.waiting.len();
 
-    let told = desk.allocator.list(Vec::new());
+    let told = desk.allocator.set_upstreams(Vec::new());
 
     assert_eq!((before, told.len()), (1, 1));
     assert!(matches!(
         told[0].1,
-        Frame::Answer(Answer {
+        Frame::SlotResponse(SlotResponse {
             verdict: Verdict::Denied,
             ..
         })
@@ -151,7 +151,7 @@
 #[test]
 fn a_late_request_of_higher_rank_waits_behind_one_that_can_be_in_time() {
     let (mut desk, leases) = full(1);
-    let late = wait(&mut desk, 0, Queue::Spare(900));
+    let late = wait(&mut desk, 0, Queue::LowPriority(900));
     desk.rank = 1;
     let in_time = wait(&mut desk, 1, Queue::Within(450));
 
--- a/crates/tinbank-allocator/tests/world/mod.rs
+++ b/crates/tinbank-allocator/tests/world/mod.rs
@@ -8,8 +8,8 @@
 
 use tinbank_allocator::{
     Allocator,
-    allocator::{Change, Outgoing, Upstream},
-    frame::{Ask, Frame, Holdings, Queue, Release, Verdict},
+    allocator::{Outgoing, StateChange, Upstream},
+    frame::{Frame, Holdings, Queue, Release, SlotRequest, Verdict},
     lease::{Class, Due, Held, Id, Outcome},
 };
 use tinbank_allowance::Tolerance;
@@ -79,7 +79,7 @@
             held: HashMap::new(),
             upstreams: upstreams.into(),
         };
-        desk.allocator.list((0..upstreams).map(upstream).collect());
+        desk.allocator.set_upstreams((0..upstreams).map(upstream).collect());
         desk.tell(0);
         desk.now += LEARNED;
         (0..HOSTS).for_each(|host| desk.tell(host));
@@ -90,7 +90,7 @@
     pub fn ask(&mut self, by: u8, class: Class, queue: Queue) -> Option<id::Instance> {
         let lease = self.next;
         self.next += 1;
-        let ask = Ask {
+        let ask = SlotRequest {
             lease,
             class,
             service: "notes".to_owned(),
@@ -99,7 +99,7 @@
             rank: self.rank,
             meter: None,
         };
-        let (out, _) = self.allocator.receive(host(by), Frame::Ask(ask), self.now);
+        let (out, _) = self.allocator.receive(host(by), Frame::SlotRequest(ask), self.now);
         self.waiting.insert((host(by), lease), class);
         self.take(out);
         let held = self.held.get(&(host(by), lease));
@@ -110,13 +110,13 @@
     fn take(&mut self, out: Outgoing) {
         for (to, frame) in out {
             let answer = match frame {
-                Frame::Answer(answer) => answer,
+                Frame::SlotResponse(answer) => answer,
                 Frame::Reclaim(lease) => {
                     self.held.remove(&(to, lease));
                     self.reclaimed.push((to, lease));
                     continue;
                 }
-                Frame::Alive(_) => continue,
+                Frame::HeartbeatReply(_) => continue,
                 other => panic!("unexpected {other:?}"),
             };
             let key = (to, answer.lease);
@@ -143,11 +143,11 @@
     /// Asks for a slot that there is, and gives the number of the lease.
     pub fn ask_held(&mut self, by: u8, class: Class) -> Id {
         let lease = self.next;
-        assert!(self.ask(by, class, Queue::Any).is_some());
+        assert!(self.ask(by, class, Queue::InUpstream).is_some());
         lease
     }
 
-    pub fn release(&mut self, by: u8, lease: Id, outcome: Outcome) -> Option<Change> {
+    pub fn release(&mut self, by: u8, lease: Id, outcome: Outcome) -> Option<StateChange> {
         let (upstream, _) = self.held.remove(&(host(by), lease)).expect("a lease");
         let release = Release {
             lease,
--- a/crates/tinbank-allowance/src/part.rs
+++ b/crates/tinbank-allowance/src/fallback.rs
@@ -23,14 +23,14 @@
 
 /// What a host lets in on its own.
 #[derive(Debug)]
-pub struct Part {
+pub struct FallbackLimiter {
     /// By it, hosts differ in when they let a first request in.
     seed: u64,
     tolerance: Tolerance,
     buckets: HashMap<id::Customer, Bucket>,
 }
 
-impl Part {
+impl FallbackLimiter {
     /// A part that was not used yet.
     pub fn new(seed: u64, tolerance: Tolerance) -> Self {
         Self {
@@ -41,7 +41,7 @@
     }
 
     /// True if a request of a customer may pass, which is then counted, at one of so many hosts.
-    pub fn take(&mut self, customer: &str, limit: Limit, hosts: usize, now: Instant) -> bool {
+    pub fn try_acquire(&mut self, customer: &str, limit: Limit, hosts: usize, now: Instant) -> bool {
         let window = self.tolerance.window.as_secs_f64();
         let in_window = self.tolerance.excess(limit) * SHARE / hosts.max(1) as f64;
         let shape = Shape {
--- a/crates/tinbank-customer/src/caller.rs
+++ b/crates/tinbank-customer/src/caller.rs
@@ -4,7 +4,7 @@
 
 use tinbank_base::id;
 
-use crate::{Customer, Customers, Key};
+use crate::{Customer, Customers, KeyDigest};
 
 /// Who sends a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -28,7 +28,7 @@
 
 impl Refusal {
     /// Why it is refused, for the log.
-    pub fn why(self) -> &'static str {
+    pub fn reason(self) -> &'static str {
         match self {
             Self::Missing => "no key",
             Self::Unknown => "no customer has the key",
@@ -54,14 +54,14 @@
 /// Who sends a request with a key, or without one. At a route that is open to all, a key that nobody has counts as none.
 pub fn identify(
     customers: Option<&Customers>,
-    key: Option<&Key>,
+    key: Option<&KeyDigest>,
     is_open: bool,
 ) -> Result<Caller, Refusal> {
     let Some(customers) = customers else {
         return Ok(Caller::Unchecked);
     };
     let refusal = match key {
-        Some(key) => match customers.holder(key) {
+        Some(key) => match customers.find_by_key(key) {
             Some(customer) => return Ok(Caller::Customer(Rc::clone(customer))),
             None => Refusal::Unknown,
         },
--- a/crates/tinbank-customer/src/customers.rs
+++ b/crates/tinbank-customer/src/customers.rs
@@ -7,7 +7,7 @@
 use tinbank_allowance::Limit;
 use tinbank_base::id;
 
-use crate::Key;
+use crate::KeyDigest;
 
 /// A customer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -15,7 +15,7 @@
     /// Its name, which upstreams are told.
     pub name: id::Customer,
     /// Its keys.
-    pub keys: SmallVec<[Key; 2]>,
+    pub keys: SmallVec<[KeyDigest; 2]>,
     /// Its rank; 0 is the highest. It goes before the one of the route.
     pub rank: Option<u8>,
     /// What it may send; nothing means no limit.
@@ -27,12 +27,12 @@
 #[serde(from = "Vec<Rc<Customer>>", into = "Vec<Rc<Customer>>")]
 pub struct Customers {
     all: Vec<Rc<Customer>>,
-    by_key: HashMap<Key, usize>,
+    by_key: HashMap<KeyDigest, usize>,
 }
 
 impl Customers {
     /// The customer that has a key.
-    pub fn holder(&self, key: &Key) -> Option<&Rc<Customer>> {
+    pub fn find_by_key(&self, key: &KeyDigest) -> Option<&Rc<Customer>> {
         let index = self.by_key.get(key)?;
         self.all.get(*index)
     }
--- a/crates/tinbank-customer/src/key.rs
+++ b/crates/tinbank-customer/src/key.rs
@@ -16,11 +16,11 @@
 /// The digest of a key. The key itself can't be had from it, so it may be kept and told to other hosts; it is printed
 /// nowhere all the same. Digests are compared in constant time, though their first bytes tell nothing of the key's.
 #[derive(Clone, Copy, Eq, Serialize, Deserialize)]
-pub struct Key([u8; BYTES]);
+pub struct KeyDigest([u8; BYTES]);
 
-impl Key {
+impl KeyDigest {
     /// The key of a text, as a request carries it or the configuration names it.
-    pub fn of(secret: &[u8]) -> Self {
+    pub fn from_secret(secret: &[u8]) -> Self {
         let digest = Sha256::digest(secret);
         let mut bytes = [0; BYTES];
         bytes.copy_from_slice(&digest[..BYTES]);
@@ -28,19 +28,19 @@
     }
 }
 
-impl PartialEq for Key {
+impl PartialEq for KeyDigest {
     fn eq(&self, other: &Self) -> bool {
         self.0.ct_eq(&other.0).into()
     }
 }
 
-impl Hash for Key {
+impl Hash for KeyDigest {
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.0.hash(state);
     }
 }
 
-impl fmt::Debug for Key {
+impl fmt::Debug for KeyDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("Key(..)")
     }
--- a/crates/tinbank-customer/src/lib.rs
+++ b/crates/tinbank-customer/src/lib.rs
@@ -9,4 +9,4 @@
 
 pub use caller::{Caller, Refusal, identify};
 pub use customers::{Customer, Customers};
-pub use key::Key;
+pub use key::KeyDigest;
--- a/crates/tinbank-customer/tests/customers.rs
+++ b/crates/tinbank-customer/tests/customers.rs
@@ -3,13 +3,13 @@
 use std::{rc::Rc, time::Instant};
 
 use tinbank_allowance::Limit;
-use tinbank_customer::{Caller, Customer, Customers, Key, Refusal, identify};
+use tinbank_customer::{Caller, Customer, Customers, KeyDigest, Refusal, identify};
 use yare::parameterized;
 
 fn customer(name: &str, keys: &[&str]) -> Rc<Customer> {
     Rc::new(Customer {
         name: name.to_owned(),
-        keys: keys.iter().map(|key| Key::of(key.as_bytes())).collect(),
+        keys: keys.iter().map(|key| KeyDigest::from_secret(key.as_bytes())).collect(),
         rank: Some(1),
         limit: Limit::new(90.0, 90.0),
     })
@@ -35,7 +35,7 @@
     expected: Result<Option<&str>, Refusal>,
 ) {
     let customers = customers();
-    let key = key.map(|key| Key::of(key.as_bytes()));
+    let key = key.map(|key| KeyDigest::from_secret(key.as_bytes()));
 
     let caller = identify(Some(&customers), key.as_ref(), is_open);
 
@@ -54,7 +54,7 @@
 fn customers_without_any_key_left_are_still_asked_for_one() {
     let customers = Customers::from(vec![]);
 
-    let caller = identify(Some(&customers), Some(&Key::of(b"a")), false);
+    let caller = identify(Some(&customers), Some(&KeyDigest::from_secret(b"a")), false);
 
     assert_eq!(caller, Err(Refusal::Unknown));
 }
@@ -102,7 +102,7 @@
     let told_in = began.elapsed();
     let began = Instant::now();
     let found = keys.iter().filter(|key| {
-        let key = Key::of(key.as_bytes());
+        let key = KeyDigest::from_secret(key.as_bytes());
         identify(Some(&told), Some(&key), false).is_ok()
     });
     let found = found.count();
--- a/crates/tinbank-feed/tests/recovery/play.rs
+++ b/crates/tinbank-feed/tests/recovery/play.rs
@@ -192,7 +192,7 @@
         let hosts = (0..fleet.hosts).map(|index| Host::new(index, fleet.way));
         let hosts: Vec<Host> = hosts.collect();
         let mut directory = Directory::default();
-        directory.list(hosts.iter().map(|host| host.peer.clone()).collect());
+        directory.set_hosts(hosts.iter().map(|host| host.peer.clone()).collect());
         let domains = directory.failure_domains("d0", 0);
         let domains = domains.into_iter().filter(|_| fleet.hosts > 0);
         let leads = domains.filter_map(|failure_domain| {
--- a/crates/tinbank-gateway/src/access.rs
+++ b/crates/tinbank-gateway/src/access.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use tinbank_customer::{Caller, Key, Refusal, identify};
+use tinbank_customer::{Caller, KeyDigest, Refusal, identify};
 use tinbank_relay::route::Config;
 
 use crate::node::Node;
@@ -22,7 +22,7 @@
     node: &Node,
     config: &Config,
     id: &str,
-    key: Option<&Key>,
+    key: Option<&KeyDigest>,
     is_open: bool,
 ) -> Result<Caller, Denied> {
     let refusal = match identify(config.customers.as_ref(), key, is_open) {
@@ -36,7 +36,7 @@
         .age(now)
         .config
         .map_or(0, |it| it.as_millis() as u64);
-    log::info!(request:% = id, version = config.version, age_ms, why = refusal.why(); "caller not known");
+    log::info!(request:% = id, version = config.version, age_ms, why = refusal.reason(); "caller not known");
     match refusal {
         Refusal::Unknown if !is_fresh => Err(Denied::Unsure),
         Refusal::Unknown | Refusal::Missing => Err(Denied::NoKey),
--- a/crates/tinbank-gateway/src/batch/item.rs
+++ b/crates/tinbank-gateway/src/batch/item.rs
@@ -161,7 +161,7 @@
     } = opened;
     let (ended, outcome) = tokio::select! {
         read = read(body, progress) => read,
-        () = lease.reclaimed() => (Ended::Reclaimed, Outcome::Unused),
+        () = lease.reclaimed() => (Ended::Reclaimed, Outcome::Inconclusive),
     };
     lease.end(outcome);
     ended
@@ -171,7 +171,7 @@
     let mut splitter = Splitter::default();
     loop {
         let frame = match time::timeout(SILENCE, body.frame()).await {
-            Err(_) => return (Ended::Broken, Outcome::Silent),
+            Err(_) => return (Ended::Broken, Outcome::Unresponsive),
             Ok(None) if splitter.is_partial() => {
                 body.cut();
                 return (Ended::Broken, Outcome::Failed);
--- a/crates/tinbank-gateway/src/border/ingress.rs
+++ b/crates/tinbank-gateway/src/border/ingress.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use tinbank_customer::Key;
+use tinbank_customer::KeyDigest;
 use tinbank_jobs::record::{self, Content, Index, ItemId, Reason};
 use tinbank_relay::event;
 
@@ -26,7 +26,7 @@
     /// Host name that the call carries.
     pub host: String,
     /// Key that it carries.
-    pub key: Option<Key>,
+    pub key: Option<KeyDigest>,
     /// What is asked.
     pub call: JobCall,
 }
@@ -70,7 +70,7 @@
     /// Path without query.
     pub path: String,
     /// Key that it carries.
-    pub key: Option<Key>,
+    pub key: Option<KeyDigest>,
     /// How long the caller waits.
     pub time_left: Option<Duration>,
     /// Last event that the caller has of the stream it continues.
--- a/crates/tinbank-gateway/src/node.rs
+++ b/crates/tinbank-gateway/src/node.rs
@@ -7,7 +7,7 @@
     time::{Duration, Instant},
 };
 
-use tinbank_allocator::{admission::Usual, pace::Pace};
+use tinbank_allocator::{admission::RouteTimings, smoothed_duration::SmoothedDuration};
 use tinbank_relay::{patience::Patience, route::Route};
 
 use crate::{
@@ -48,8 +48,8 @@
 struct Learned {
     /// How long callers wait.
     patience: Patience,
-    first_event: Pace,
-    held: Pace,
+    first_event: SmoothedDuration,
+    held: SmoothedDuration,
 }
 
 impl Node {
@@ -118,21 +118,21 @@
     }
 
     /// What is usual on a route.
-    pub fn usual(&self, route: &Route) -> Usual {
-        self.learn(route, |it| Usual {
-            first_event: it.first_event.measured(),
-            held: it.held.measured(),
+    pub fn usual(&self, route: &Route) -> RouteTimings {
+        self.learn(route, |it| RouteTimings {
+            first_event: it.first_event.get(),
+            slot_time: it.held.get(),
         })
     }
 
     /// The first event of an answer came so long after its request was sent.
     pub fn note_first_event(&self, route: &Route, after: Duration) {
-        self.learn(route, |it| it.first_event.note(after));
+        self.learn(route, |it| it.first_event.record(after));
     }
 
     /// A request that was served has held its slot for so long.
     pub fn note_held(&self, route: &Route, time: Duration) {
-        self.learn(route, |it| it.held.note(time));
+        self.learn(route, |it| it.held.record(time));
     }
 
     fn learn<T>(&self, route: &Route, learn: impl FnOnce(&mut Learned) -> T) -> T {
--- a/crates/tinbank-gateway/src/relay/attempt.rs
+++ b/crates/tinbank-gateway/src/relay/attempt.rs
@@ -151,9 +151,9 @@
         Error::Silent => "silent",
     });
     let (trouble, outcome) = match error {
-        Error::NotSent(_) => (Trouble::NotRun, Outcome::Silent),
+        Error::NotSent(_) => (Trouble::NotRun, Outcome::Unresponsive),
         Error::Lost(_) => (Trouble::Lost, Outcome::Failed),
-        Error::Silent => (Trouble::Silent, Outcome::Silent),
+        Error::Silent => (Trouble::Silent, Outcome::Unresponsive),
     };
     lease.end(outcome);
     trouble
--- a/crates/tinbank-gateway/src/relay/online.rs
+++ b/crates/tinbank-gateway/src/relay/online.rs
@@ -105,7 +105,7 @@
             received: arrival.at.steady,
             deadline: arrival.deadline,
             target: route.target_latency,
-            is_late: !arrival.is_first,
+            is_retry: !arrival.is_first,
         };
         Self {
             node: Rc::clone(node),
@@ -257,7 +257,7 @@
             allocator:% = lease.chosen_by(),
             list_age_ms = view.upstreams_age(now).map_or(0, |age| age.as_millis() as u64),
             queued = lease.queued,
-            late = self.admission.is_late,
+            late = self.admission.is_retry,
             waited_ms = now.saturating_duration_since(self.admission.received).as_millis() as u64,
             after = resume_after.unwrap_or(0),
             left_ms = self.admission.deadline.saturating_duration_since(now).as_millis() as u64;
@@ -268,7 +268,7 @@
     /// Whether this request may wait for a slot. One whose answer has begun is never turned away.
     fn queue(&self) -> Queue {
         if self.resume_after.is_some() || self.attempts.may_have_run() {
-            return Queue::Any;
+            return Queue::InUpstream;
         }
         let usual = self.node.usual(&self.route);
         self.admission.queue(usual, Instant::now())
@@ -300,8 +300,8 @@
         let unanswered = Unanswered {
             target: self.route.target_latency,
             is_queued,
-            is_late: self.admission.is_late,
-            usually_held: self.node.usual(&self.route).held,
+            is_late: self.admission.is_retry,
+            usually_held: self.node.usual(&self.route).slot_time,
         };
         unanswered
             .silent_at(Instant::now())
@@ -370,7 +370,7 @@
             (_, Some(retry_after), _) => Reply::HeldBack { retry_after },
             (_, None, Some(retry_after)) => Reply::OverQuota { retry_after },
         };
-        let late = self.admission.is_late;
+        let late = self.admission.is_retry;
         let waited_ms = self.admission.received.elapsed().as_millis() as u64;
         log::info!(request:% = id, route:% = self.route.name, tried, late, waited_ms, reply:?; "no answer");
         reply_with(&self.node, reply)
--- a/crates/tinbank-gateway/src/relay/stream.rs
+++ b/crates/tinbank-gateway/src/relay/stream.rs
@@ -106,7 +106,7 @@
                 }
                 Heard::Broken(why, outcome) => (why, outcome),
                 Heard::OutOfTime => {
-                    self.end(Outcome::Unused);
+                    self.end(Outcome::Inconclusive);
                     return Some(Err(self.abort("its time is up")));
                 }
             };
@@ -212,7 +212,7 @@
     loop {
         let frame = match time::timeout_at(until.into(), source.body.frame()).await {
             Err(_) if Instant::now() >= deadline => return Heard::OutOfTime,
-            Err(_) => return Heard::Broken("fell silent", Outcome::Silent),
+            Err(_) => return Heard::Broken("fell silent", Outcome::Unresponsive),
             Ok(None) => return Heard::End,
             Ok(Some(Err(_))) => return Heard::Broken("broke off", Outcome::Failed),
             Ok(Some(Ok(frame))) => frame,
--- a/crates/tinbank-gateway/src/sharing.rs
+++ b/crates/tinbank-gateway/src/sharing.rs
@@ -20,13 +20,13 @@
 use smallvec::SmallVec;
 use tinbank_allocator::{
     Allocator, Directory,
-    allocator::{HEARTBEAT, Upstream},
+    allocator::{HEARTBEAT_INTERVAL, Upstream},
     avoidance::Avoidance,
     directory::Peer,
-    frame::{Alive, Frame, Meter, Queue, Verdict},
+    frame::{Frame, HeartbeatReply, Meter, Queue, Verdict},
     lease::{self, Class},
 };
-use tinbank_allowance::{Part, Tolerance};
+use tinbank_allowance::{FallbackLimiter, Tolerance};
 use tinbank_base::id;
 use tinbank_feed::source::{self, Candidates};
 use tokio::{
@@ -67,7 +67,7 @@
     /// Allocators that said that they reach the store, and when.
     with_store: HashMap<SocketAddr, Instant>,
     /// What this host lets in of customers while it reaches no allocator.
-    part: Part,
+    part: FallbackLimiter,
 }
 
 /// What a slot is asked for.
@@ -109,7 +109,7 @@
             unheard: HashSet::new(),
             avoidance: Avoidance::default(),
             with_store: HashMap::new(),
-            part: Part::new(seed, tolerance),
+            part: FallbackLimiter::new(seed, tolerance),
         };
         // Lease numbers of a later start are larger, so that its holdings end the leases of an earlier one.
         let since_1970 = std::time::SystemTime::UNIX_EPOCH.elapsed();
@@ -131,13 +131,13 @@
 
     /// Takes in the upstreams of the own failure domain.
     pub fn list(&self, upstreams: Vec<Upstream>) {
-        let out = self.state.borrow_mut().allocator.list(upstreams);
+        let out = self.state.borrow_mut().allocator.set_upstreams(upstreams);
         self.send_all(out);
     }
 
     /// True if the allocator deals out fewer upstreams than it was told of: others have said that some leave.
     pub fn lacks_upstreams(&self) -> bool {
-        self.state.borrow().allocator.lacks_upstreams()
+        self.state.borrow().allocator.has_removed_upstreams()
     }
 
     /// Takes in the list of hosts.
@@ -147,10 +147,10 @@
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
         let before = state.directory.allocators(now);
-        state.directory.list(peers);
+        state.directory.set_hosts(peers);
         let after = state.directory.allocators(now);
-        let hosts = state.directory.hosts();
-        state.allocator.hosts(hosts, now);
+        let hosts = state.directory.host_count();
+        state.allocator.set_host_count(hosts, now);
         drop(state);
         if before != after {
             log::info!(before:?, after:?; "allocators by the list of hosts");
@@ -161,13 +161,13 @@
 
     /// Number of hosts that are listed.
     pub fn hosts(&self) -> usize {
-        self.state.borrow().directory.hosts()
+        self.state.borrow().directory.host_count()
     }
 
     /// Forgets what the allocator believes, after a pause of the process.
     pub fn forget(&self, now: Instant) {
         let mut state = self.state.borrow_mut();
-        state.allocator.forget(now);
+        state.allocator.forget_leases(now);
         state.unheard.clear();
         self.store_read_at.set(None);
         self.learning.notify_one();
@@ -175,7 +175,7 @@
 
     /// How long another host may take to answer, by how far away it is.
     fn patience(&self, host: SocketAddr) -> Duration {
-        self.state.borrow().directory.patience(host)
+        self.state.borrow().directory.response_timeout(host)
     }
 
     /// This host has read the store to its end.
@@ -225,8 +225,8 @@
         source::candidates(&self.state.borrow().directory, &self.own, now)
     }
 
-    fn alive(&self, now: Instant) -> Alive {
-        Alive {
+    fn alive(&self, now: Instant) -> HeartbeatReply {
+        HeartbeatReply {
             reaches_store: self.reaches_store(now),
         }
     }
@@ -241,7 +241,7 @@
     pub fn hosts_with_store(&self, job: &str, now: Instant) -> SmallVec<[SocketAddr; 8]> {
         let state = self.state.borrow();
         let with_store = state.with_store.iter();
-        let fresh = with_store.filter(|(_, at)| now < **at + HEARTBEAT + STORE_AGE);
+        let fresh = with_store.filter(|(_, at)| now < **at + HEARTBEAT_INTERVAL + STORE_AGE);
         let peers = fresh.filter_map(|(address, _)| state.directory.peer(*address));
         let mut peers: SmallVec<[&Peer; 8]> = peers.collect();
         peers.sort_by_cached_key(|peer| {
@@ -254,24 +254,24 @@
     /// The upstreams of which the allocator of this host does not know whether they are free of requests of lost hosts.
     fn unsettled(&self) -> Vec<Upstream> {
         let state = self.state.borrow();
-        state.allocator.unsettled().cloned().collect()
+        state.allocator.upstreams_to_poll().cloned().collect()
     }
 
     /// Takes in how many requests an upstream says that it has.
     fn reported(&self, upstream: &id::Instance, requests: usize, now: Instant) {
         let mut state = self.state.borrow_mut();
-        let out = state.allocator.reported(upstream, requests, now);
+        let out = state.allocator.record_load(upstream, requests, now);
         drop(state);
         self.send_all(out);
     }
 
     /// No more upstreams are asked for their load.
     fn settle(&self) {
-        self.state.borrow_mut().allocator.settle();
+        self.state.borrow_mut().allocator.clear_orphaned();
     }
 
     fn needs_reports(&self, now: Instant) -> bool {
-        self.state.borrow().allocator.needs_reports(now)
+        self.state.borrow().allocator.needs_load_reports(now)
     }
 
     fn avoided(&self, now: Instant) -> SmallVec<[id::Instance; 4]> {
--- a/crates/tinbank-gateway/src/sharing/ask.rs
+++ b/crates/tinbank-gateway/src/sharing/ask.rs
@@ -11,7 +11,7 @@
 
 use smallvec::SmallVec;
 use tinbank_allocator::{
-    frame::{Ask, Grant, Meter, OverLimit, Queue, Verdict},
+    frame::{Grant, Meter, OverLimit, Queue, SlotRequest, Verdict},
     lease::Outcome,
 };
 use tinbank_base::id;
@@ -67,7 +67,7 @@
         }
         // Those of other failure domains are known to their allocators only.
         let is_known = node.view.is_narrow() || node.view.has_upstream_beside(wanted.service, &[]);
-        if denied && is_known && wanted.queue != Queue::Any {
+        if denied && is_known && wanted.queue != Queue::InUpstream {
             return Asked::Full;
         }
         if let Some(meter) = wanted.meter
@@ -84,9 +84,9 @@
     /// True if a request may pass though no allocator has counted it.
     fn take_own_part(&self, meter: &Meter) -> bool {
         let mut state = self.state.borrow_mut();
-        let hosts = state.directory.hosts();
+        let hosts = state.directory.host_count();
         let now = Instant::now();
-        let passes = state.part.take(&meter.customer, meter.limit, hosts, now);
+        let passes = state.part.try_acquire(&meter.customer, meter.limit, hosts, now);
         let limit = meter.limit;
         log::info!(customer:% = meter.customer, rate_milli = limit.rate_milli, hosts, passes; "no allocator counts, this host's own part");
         passes
@@ -136,7 +136,7 @@
         if queue == Queue::No {
             exclude.extend(self.avoided(now));
         }
-        let ask = Ask {
+        let ask = SlotRequest {
             lease,
             class: wanted.class,
             service: wanted.service.to_owned(),
@@ -149,7 +149,7 @@
         let mut verdict = pending.first(now, self.patience(allocator)).await;
         measure::asked(wanted.class, verdict.as_ref(), now.elapsed());
         if verdict == Some(Verdict::Waiting) {
-            let until = now + queue.patience().unwrap_or_default();
+            let until = now + queue.max_wait().unwrap_or_default();
             verdict = pending.wait(until).await;
             if pending.is_waiting() {
                 return Answered::TimeUp;
@@ -161,7 +161,7 @@
                 Answered::Granted(lease)
             }
             Some(Verdict::OverLimit(over)) => {
-                let returns_in = Duration::from_millis(over.returns_in_ms.into());
+                let returns_in = Duration::from_millis(over.retry_after_ms.into());
                 log_over_limit(wanted, allocator, over);
                 Answered::OverLimit(returns_in)
             }
@@ -214,7 +214,7 @@
         rate_milli = limit.rate_milli,
         burst_milli = limit.burst_milli,
         level_milli = over.level_milli,
-        returns_in_ms = over.returns_in_ms,
+        returns_in_ms = over.retry_after_ms,
         allocator:%;
         "customer above its limit"
     );
--- a/crates/tinbank-gateway/src/sharing/ask/tests.rs
+++ b/crates/tinbank-gateway/src/sharing/ask/tests.rs
@@ -4,7 +4,7 @@
 
 use tinbank_allocator::{
     directory::Peer,
-    frame::{Answer, Frame, Grant, MAX_BYTES, Queue, Verdict},
+    frame::{Frame, Grant, MAX_DATAGRAM_BYTES, Queue, SlotResponse, Verdict},
     lease::{self, Class},
 };
 use tinbank_allowance::Tolerance;
@@ -37,7 +37,7 @@
 
     /// The next datagram of a kind, or nothing if there is none for a while.
     async fn next<T>(&self, is_it: impl Fn(Frame) -> Option<T>) -> Option<(T, SocketAddr)> {
-        let mut buffer = vec![0; MAX_BYTES];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let received = time::timeout(SHORT, self.allocator.recv_from(&mut buffer)).await;
             let (length, from) = received.ok()?.unwrap();
@@ -48,7 +48,7 @@
     }
 
     async fn answer(&self, to: SocketAddr, lease: lease::Id, verdict: Verdict) {
-        let frame = Frame::Answer(Answer { lease, verdict });
+        let frame = Frame::SlotResponse(SlotResponse { lease, verdict });
         let bytes = frame.encode().unwrap();
         self.allocator.send_to(&bytes, to).await.unwrap();
     }
@@ -73,7 +73,7 @@
 
 fn ask(frame: Frame) -> Option<lease::Id> {
     match frame {
-        Frame::Ask(ask) => Some(ask.lease),
+        Frame::SlotRequest(ask) => Some(ask.lease),
         _ => None,
     }
 }
--- a/crates/tinbank-gateway/src/sharing/counts.rs
+++ b/crates/tinbank-gateway/src/sharing/counts.rs
@@ -33,7 +33,7 @@
             return;
         };
         let mut others = state.directory.counters(now);
-        others.extend(state.allocator.tellers(TELLER_AGE, now));
+        others.extend(state.allocator.recent_count_senders(TELLER_AGE, now));
         drop(state);
         others.sort();
         others.dedup();
--- a/crates/tinbank-gateway/src/sharing/held.rs
+++ b/crates/tinbank-gateway/src/sharing/held.rs
@@ -93,7 +93,7 @@
             id,
             allocator,
             reclaimed,
-            outcome: Cell::new(Outcome::Unused),
+            outcome: Cell::new(Outcome::Inconclusive),
         }
     }
 
@@ -102,7 +102,7 @@
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
         state.held.remove(&lease.id);
-        state.avoidance.note(&lease.upstream, outcome, now);
+        state.avoidance.record_outcome(&lease.upstream, outcome, now);
         drop(state);
         let Some(allocator) = lease.allocator else {
             return;
--- a/crates/tinbank-gateway/src/sharing/peers.rs
+++ b/crates/tinbank-gateway/src/sharing/peers.rs
@@ -8,8 +8,8 @@
 
 use smallvec::SmallVec;
 use tinbank_allocator::{
-    allocator::{Change, HEARTBEAT, Outgoing},
-    frame::{self, Frame, Grant, Holdings, MAX_BYTES, Release, Verdict},
+    allocator::{HEARTBEAT_INTERVAL, Outgoing, StateChange},
+    frame::{self, Frame, Grant, Holdings, MAX_DATAGRAM_BYTES, Release, Verdict},
     lease::{self, Held, Outcome},
 };
 use tinbank_quarantine::News;
@@ -24,7 +24,7 @@
         if from != self.own.address {
             let mut state = self.state.borrow_mut();
             state.unheard.remove(&from);
-            let is_back = state.directory.heard(from);
+            let is_back = state.directory.record_datagram(from);
             drop(state);
             if is_back {
                 log::info!(peer:% = from; "host heard again");
@@ -33,12 +33,12 @@
             }
         }
         match frame {
-            Frame::Answer(answer) => self.answered(from, answer),
-            Frame::Ping => self.send(from, &Frame::Alive(self.alive(now))),
+            Frame::SlotResponse(answer) => self.answered(from, answer),
+            Frame::Ping => self.send(from, &Frame::HeartbeatReply(self.alive(now))),
             Frame::Reclaim(lease) => self.reclaim(lease),
-            Frame::Alive(alive) => {
+            Frame::HeartbeatReply(alive) => {
                 let mut state = self.state.borrow_mut();
-                state.directory.answered(from, now);
+                state.directory.record_heartbeat_reply(from, now);
                 match alive.reaches_store {
                     true => state.with_store.insert(from, now),
                     false => state.with_store.remove(&from),
@@ -46,10 +46,10 @@
             }
             asked => {
                 let mut state = self.state.borrow_mut();
-                state.allocator.announce(self.alive(now));
+                state.allocator.set_heartbeat_reply(self.alive(now));
                 let (out, change) = state.allocator.receive(from, asked, now);
                 drop(state);
-                if change == Some(Change::Learning) {
+                if change == Some(StateChange::Learning) {
                     self.learning.notify_one();
                 }
                 note(change);
@@ -64,8 +64,8 @@
         }
     }
 
-    fn answered(&self, from: SocketAddr, answer: frame::Answer) {
-        let frame::Answer { lease, verdict } = answer;
+    fn answered(&self, from: SocketAddr, answer: frame::SlotResponse) {
+        let frame::SlotResponse { lease, verdict } = answer;
         let state = self.state.borrow();
         let unheard = match state.asks.get(&lease) {
             Some(pending) => pending.send(verdict).err().map(|error| error.0),
@@ -88,7 +88,7 @@
         let release = Release {
             lease,
             upstream: grant.upstream,
-            outcome: Outcome::Unused,
+            outcome: Outcome::Inconclusive,
         };
         self.send(allocator, &Frame::Release(release));
     }
@@ -101,7 +101,7 @@
 
     pub(super) fn missed(&self, allocator: SocketAddr, why: &'static str) {
         let now = Instant::now();
-        let moved = self.state.borrow_mut().directory.missed(allocator, now);
+        let moved = self.state.borrow_mut().directory.record_timeout(allocator, now);
         if moved {
             log::warn!(peer:% = allocator, why; "host silent, passed over as allocator");
             self.tell_holdings(now);
@@ -147,7 +147,7 @@
         let delegates = delegates.map(|it| it.address);
         let mut asked: SmallVec<[SocketAddr; 8]> =
             delegates.filter(|it| Some(*it) != allocator).collect();
-        asked.extend(state.directory.due(now));
+        asked.extend(state.directory.hosts_to_probe(now));
         drop(state);
         asked.retain(|it| *it != self.own.address);
         for to in asked {
@@ -163,19 +163,19 @@
         }
         let mut state = self.state.borrow_mut();
         state.unheard.insert(from);
-        state.directory.told(from, now);
+        state.directory.record_heartbeat_sent(from, now);
     }
 }
 
-fn note(change: Option<Change>) {
+fn note(change: Option<StateChange>) {
     match change {
-        Some(Change::Ejected(upstream)) => {
+        Some(StateChange::Ejected(upstream)) => {
             log::warn!(upstream:%; "upstream ejected, two hosts had trouble with it");
         }
-        Some(Change::Left(upstream)) => {
+        Some(StateChange::Left(upstream)) => {
             log::info!(upstream:%; "upstream leaves, by a newer list of another host");
         }
-        Some(Change::Learning) => {
+        Some(StateChange::Learning) => {
             log::info!("allocator learns the leases of others before it grants to batch");
         }
         None => {}
@@ -185,7 +185,7 @@
 /// Receives datagrams for as long as the process runs.
 /// What they tell of requests that end upstreams is passed to `news`.
 pub(crate) async fn receive(sharing: Rc<Sharing>, news: impl Fn(SocketAddr, News)) {
-    let mut buffer = vec![0; MAX_BYTES];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let (length, from) = match sharing.socket.recv_from(&mut buffer).await {
             Ok(received) => received,
@@ -206,7 +206,7 @@
 /// Tells holdings at each heartbeat, and passes over hosts that did not answer the one before.
 pub(crate) async fn heartbeat(node: Rc<Node>) {
     let sharing = &node.sharing;
-    let mut ticks = time::interval(HEARTBEAT);
+    let mut ticks = time::interval(HEARTBEAT_INTERVAL);
     ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
--- a/crates/tinbank-gateway/src/sharing/pending.rs
+++ b/crates/tinbank-gateway/src/sharing/pending.rs
@@ -6,7 +6,7 @@
     time::{Duration, Instant},
 };
 
-use tinbank_allocator::frame::{Ask, Frame, Verdict};
+use tinbank_allocator::frame::{Frame, SlotRequest, Verdict};
 use tokio::{sync::mpsc, time};
 
 use super::Sharing;
@@ -23,14 +23,14 @@
 pub(super) struct Pending {
     sharing: Rc<Sharing>,
     allocator: SocketAddr,
-    ask: Ask,
+    ask: SlotRequest,
     verdicts: mpsc::UnboundedReceiver<Verdict>,
     last: Option<Verdict>,
 }
 
 impl Pending {
     /// Sends an ask to an allocator.
-    pub fn send(sharing: &Rc<Sharing>, allocator: SocketAddr, ask: Ask) -> Self {
+    pub fn send(sharing: &Rc<Sharing>, allocator: SocketAddr, ask: SlotRequest) -> Self {
         let (sender, verdicts) = mpsc::unbounded_channel();
         let lease = ask.lease;
         sharing.state.borrow_mut().asks.insert(lease, sender);
@@ -83,7 +83,7 @@
     }
 
     fn resend(&self) {
-        let frame = Frame::Ask(self.ask.clone());
+        let frame = Frame::SlotRequest(self.ask.clone());
         self.sharing.send(self.allocator, &frame);
     }
 }
--- a/crates/tinbank-gateway/src/view.rs
+++ b/crates/tinbank-gateway/src/view.rs
@@ -14,7 +14,7 @@
     time::{Duration, Instant},
 };
 
-use tinbank_allocator::{allocator, directory::Peer, slow_start::Cold};
+use tinbank_allocator::{allocator, directory::Peer, slow_start::ColdStart};
 use tinbank_base::id;
 use tinbank_feed::message::Age;
 use tinbank_relay::{
@@ -241,13 +241,13 @@
 
     /// Until when an upstream bears few requests a second. One of a failure domain that was just taken back may be cold though
     /// its entry does not say so yet.
-    fn cold(&self, upstream: &Upstream, now: Instant) -> Option<Cold> {
+    fn cold(&self, upstream: &Upstream, now: Instant) -> Option<ColdStart> {
         let config = self.config.borrow();
         let per_second = config.as_ref()?.cold_rate(&upstream.service)?;
         let reinstated = self.reinstated.borrow();
         let unsure_until = reinstated.get(&upstream.failure_domain).copied();
         let until = upstream.cold_until.max(unsure_until)?;
-        (now < until).then_some(Cold { until, per_second })
+        (now < until).then_some(ColdStart { until, per_second })
     }
 
     /// Failure domains were taken back.
