--- a/crates/tinbank-allocator/src/frame.rs
+++ b/crates/tinbank-allocator/src/frame.rs
@@ -6,7 +6,7 @@
 use smallvec::SmallVec;
 use tinbank_allowance::{Counts, Limit};
 use tinbank_base::id;
-use tinbank_quarantine::News;
+use tinbank_quarantine::Update;
 
 use crate::lease;
 
@@ -51,7 +51,7 @@
     /// A host asks a delegate that is not its allocator for a heartbeat.
     Ping,
     /// What a host has seen of requests that end upstreams.
-    Quarantine(News),
+    Quarantine(Update),
 }
 
 /// A request for one slot.
--- a/crates/tinbank-feed/src/backoff.rs
+++ b/crates/tinbank-feed/src/backoff.rs
@@ -54,12 +54,12 @@
 /// How long one repeated call waits for its answer: twice as long after each one that did not come in time. A fixed time
 /// that is too short for a store under load throws each answer away when it is nearly there, and asks for it again.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct ResponseTimeout {
     usual: Duration,
     factor: u32,
 }
 
-impl Patience {
+impl ResponseTimeout {
     /// That of a call that usually takes so long at most.
     pub fn new(usual: Duration) -> Self {
         Self { usual, factor: 1 }
@@ -71,12 +71,12 @@
     }
 
     /// An answer came.
-    pub fn answered(&mut self) {
+    pub fn on_response(&mut self) {
         self.factor = 1;
     }
 
     /// No answer came in time.
-    pub fn missed(&mut self) {
+    pub fn on_timeout(&mut self) {
         self.factor = (self.factor * 2).min(MOST_PATIENCE);
     }
 }
--- a/crates/tinbank-feed/src/lib.rs
+++ b/crates/tinbank-feed/src/lib.rs
@@ -11,7 +11,7 @@
 pub mod source;
 
 pub use self::{
-    backoff::{Backoff, Patience},
+    backoff::{Backoff, ResponseTimeout},
     delegation::Delegation,
     history::History,
     source::Sources,
--- a/crates/tinbank-feed/src/message.rs
+++ b/crates/tinbank-feed/src/message.rs
@@ -6,7 +6,7 @@
 use serde_with::{DurationMilliSeconds, serde_as};
 use tinbank_allocator::directory::Peer;
 use tinbank_base::id;
-use tinbank_quarantine::Held;
+use tinbank_quarantine::Quarantined;
 use tinbank_relay::{route::Config, upstream::Upstream};
 
 /// Position in a list of the store.
@@ -72,7 +72,7 @@
     /// What it lacks of the hosts.
     pub hosts: Option<Part<Peer, SocketAddr>>,
     /// The requests that are held back, if they are others.
-    pub quarantine: Option<Snapshot<Held>>,
+    pub quarantine: Option<Snapshot<Quarantined>>,
     /// The failure domains that are evacuated, if they are others.
     pub evacuations: Option<Snapshot<id::FailureDomain>>,
     /// How long ago the store answered the delegate.
--- a/crates/tinbank-feed/src/source.rs
+++ b/crates/tinbank-feed/src/source.rs
@@ -30,7 +30,7 @@
 
 /// The first delegate of a failure domain, as it was named in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Lead {
+pub struct FirstDelegate {
     /// The failure domain.
     pub failure_domain: id::FailureDomain,
     /// Where the delegate takes datagrams, and what other hosts follow at it.
@@ -58,9 +58,9 @@
 
 /// The first delegates that a host asks for the list of hosts when it starts: that of its own failure domain, then the others
 /// in an order by which the hosts fall on all of them.
-pub fn introducers(leads: &[Lead], own: &Peer) -> Candidates {
+pub fn introducers(leads: &[FirstDelegate], own: &Peer) -> Candidates {
     let others = leads.iter().filter(|it| it.address != own.address);
-    let mut others: SmallVec<[&Lead; 8]> = others.collect();
+    let mut others: SmallVec<[&FirstDelegate; 8]> = others.collect();
     others.sort_by_cached_key(|it| {
         let is_far = it.failure_domain != own.failure_domain;
         (is_far, order(own.address, it.address))
--- a/crates/tinbank-feed/tests/backoff.rs
+++ b/crates/tinbank-feed/tests/backoff.rs
@@ -7,7 +7,7 @@
 
 use proptest::prelude::*;
 use rand::{SeedableRng, rngs::StdRng};
-use tinbank_feed::{Backoff, Patience};
+use tinbank_feed::{Backoff, ResponseTimeout};
 use tinbank_test_support::property;
 
 fn draw(seed: u64) -> StdRng {
@@ -74,19 +74,19 @@
 /// A read that needs 3 s was thrown away after 700 ms each time.
 #[test]
 fn an_answer_that_is_slow_is_waited_for_in_the_end() {
-    let mut patience = Patience::new(Duration::from_millis(700));
+    let mut patience = ResponseTimeout::new(Duration::from_millis(700));
     let mut tries = 1;
     while patience.duration() < Duration::from_secs(3) {
-        patience.missed();
+        patience.on_timeout();
         tries += 1;
     }
 
     assert_eq!(tries, 4);
     for _ in 0..10 {
-        patience.missed();
+        patience.on_timeout();
     }
     assert_eq!(patience.duration(), Duration::from_millis(5_600));
-    patience.answered();
+    patience.on_response();
     assert_eq!(patience.duration(), Duration::from_millis(700));
 }
 
--- a/crates/tinbank-feed/tests/message.rs
+++ b/crates/tinbank-feed/tests/message.rs
@@ -5,7 +5,7 @@
 use smallvec::smallvec;
 use tinbank_allocator::directory::Peer;
 use tinbank_feed::message::{Age, Ask, Error, Part, Scope, Snapshot, Update, decode, encode};
-use tinbank_quarantine::Held;
+use tinbank_quarantine::Quarantined;
 use tinbank_relay::{
     route::{Batch, Config, Kind, Limits, Route, Share},
     upstream::Upstream,
@@ -80,7 +80,7 @@
         }),
         quarantine: Some(Snapshot {
             position: 3,
-            entries: vec![Held {
+            entries: vec![Quarantined {
                 request: 1 << 100,
                 ended: 3,
                 reached: 1,
--- a/crates/tinbank-feed/tests/recovery/play.rs
+++ b/crates/tinbank-feed/tests/recovery/play.rs
@@ -13,8 +13,8 @@
     directory::{Capacity, Peer},
 };
 use tinbank_feed::{
-    Backoff, Patience, Sources,
-    source::{self, Lead},
+    Backoff, ResponseTimeout, Sources,
+    source::{self, FirstDelegate},
 };
 
 use crate::store::{Answer, Outage, Store};
@@ -139,7 +139,7 @@
     peer: Peer,
     step: Step,
     backoff: Backoff,
-    patience: Patience,
+    patience: ResponseTimeout,
     sources: Option<Sources>,
     knows_hosts: bool,
     has_config: bool,
@@ -165,7 +165,7 @@
     hosts: Vec<Host>,
     directory: Directory,
     /// The first delegates, as the store names them.
-    leads: Vec<Lead>,
+    leads: Vec<FirstDelegate>,
     store: Store,
     events: BinaryHeap<Reverse<(Instant, Event)>>,
     draw: StdRng,
@@ -197,7 +197,7 @@
         let domains = domains.into_iter().filter(|_| fleet.hosts > 0);
         let leads = domains.filter_map(|failure_domain| {
             let address = directory.allocator(&failure_domain, began)?;
-            Some(Lead {
+            Some(FirstDelegate {
                 failure_domain,
                 address,
             })
@@ -280,7 +280,7 @@
         let is_delegate = self.is_delegate(index);
         let host = &mut self.hosts[index];
         host.backoff.succeeded();
-        host.patience.answered();
+        host.patience.on_response();
         host.step = match host.step {
             Step::Leads => {
                 host.step = Step::Hosts(0);
@@ -421,7 +421,7 @@
         let way = self.fleet.way;
         let host = &mut self.hosts[index];
         if silent && way.patient {
-            host.patience.missed();
+            host.patience.on_timeout();
         }
         let again = match way.backoff {
             true => host.backoff.failed(self.now, &mut self.draw),
@@ -561,7 +561,7 @@
                 Step::Hosts(0)
             },
             backoff: Backoff::default(),
-            patience: Patience::new(USUAL_ANSWER),
+            patience: ResponseTimeout::new(USUAL_ANSWER),
             sources: None,
             knows_hosts: false,
             has_config: false,
--- a/crates/tinbank-gateway/src/batch/follower.rs
+++ b/crates/tinbank-gateway/src/batch/follower.rs
@@ -6,7 +6,7 @@
 };
 
 use log::Level;
-use tinbank_feed::Patience;
+use tinbank_feed::ResponseTimeout;
 use tinbank_jobs::{
     fold::{Change, Verdict},
     fragment::{Joiner, Whole},
@@ -43,13 +43,13 @@
 pub(super) async fn follow(node: Rc<Node>) {
     let mut joiner = Joiner::default();
     let mut log_of_jobs = Dependency::new("jobs");
-    let mut patience = Patience::new(ANSWER_TIMEOUT);
+    let mut patience = ResponseTimeout::new(ANSWER_TIMEOUT);
     let mut pruned_at = Instant::now();
     loop {
         let from = node.batch.next.get();
         match next_page(&node, from, patience.duration()).await {
             Ok(page) => {
-                patience.answered();
+                patience.on_response();
                 log_of_jobs.reached();
                 let news = !page.records.is_empty();
                 let end = page.end;
@@ -70,7 +70,7 @@
             Err(error) => {
                 log_of_jobs.failed(&error);
                 if matches!(error, Error::Unknown(_)) {
-                    patience.missed();
+                    patience.on_timeout();
                 }
                 node.retry.pause().await;
             }
--- a/crates/tinbank-gateway/src/batch/mod.rs
+++ b/crates/tinbank-gateway/src/batch/mod.rs
@@ -110,9 +110,9 @@
 /// hosts times jobs: 295 hosts moved 1.1 GB to and from the store in a day of 500 jobs with a power loss, 20 delegates 0.1 GB.
 async fn duty(node: Rc<Node>) {
     loop {
-        node.feed.on_duty().await;
+        node.feed.wait_until_delegate().await;
         // The lists come first: all other hosts wait for them, and the log of jobs takes the store many times as long.
-        node.view.known().await;
+        node.view.wait_until_known().await;
         log::info!("log of jobs followed, and jobs run here");
         tokio::select! {
             () = follower::follow(Rc::clone(&node)) => {}
@@ -130,7 +130,7 @@
     tokio::select! {
         () = owner::stay(Rc::clone(node)) => {}
         () = runner::run(Rc::clone(node)) => {}
-        () = node.feed.off_duty() => {}
+        () = node.feed.wait_until_not_delegate() => {}
     }
     if node.stop.is_stopping() {
         // Whoever stops the process gives everything back.
--- a/crates/tinbank-gateway/src/batch/runner.rs
+++ b/crates/tinbank-gateway/src/batch/runner.rs
@@ -247,7 +247,7 @@
         path: &item.path,
         content: &content,
     });
-    if let Some(until) = node.quarantine.held_until(&request, Instant::now()) {
+    if let Some(until) = node.quarantine.quarantined_until(&request, Instant::now()) {
         return runner.hold_back(key, until);
     }
     let max_attempts = job.max_attempts;
--- a/crates/tinbank-gateway/src/batch/runner/next.rs
+++ b/crates/tinbank-gateway/src/batch/runner/next.rs
@@ -114,7 +114,7 @@
     let failed_at = paused.map(|paused| paused.failed_at.clone());
     let mut avoid = failed_at.unwrap_or_default();
     // Where it has failed at all of them, one of them has to try again until its attempts are used up.
-    if !node.view.has_upstream_beside(&service, &avoid) {
+    if !node.view.has_other_upstream(&service, &avoid) {
         avoid.clear();
     }
     Some(Candidate {
--- a/crates/tinbank-gateway/src/border/store.rs
+++ b/crates/tinbank-gateway/src/border/store.rs
@@ -5,8 +5,8 @@
 use async_trait::async_trait;
 use bytes::Bytes;
 use tinbank_allocator::directory::Peer;
-use tinbank_feed::source::Lead;
-use tinbank_quarantine::{Fingerprint, Held};
+use tinbank_feed::source::FirstDelegate;
+use tinbank_quarantine::{Fingerprint, Quarantined};
 use tinbank_relay::{route::Config, upstream::Upstream};
 
 /// Position of a record in a partition.
@@ -111,11 +111,11 @@
     /// A host of the system is registered.
     Host(Peer),
     /// The first delegate of a failure domain is named.
-    Lead(Lead),
+    FirstDelegate(FirstDelegate),
     /// A host of the system has signed off.
     HostGone(SocketAddr),
     /// A request is held back.
-    Held(Held),
+    Quarantined(Quarantined),
     /// A request is not held back any more.
     Lifted(Fingerprint),
     /// Nothing new is to be sent to the upstreams of a failure domain.
@@ -191,9 +191,9 @@
     /// Takes a host of the system off the list.
     async fn unregister(&self, host: &Peer, until: Instant) -> Result<(), Error>;
     /// Names the first delegate of a failure domain.
-    async fn name_lead(&self, lead: &Lead, until: Instant) -> Result<(), Error>;
+    async fn name_lead(&self, lead: &FirstDelegate, until: Instant) -> Result<(), Error>;
     /// Enters a request that is held back.
-    async fn hold(&self, held: &Held, until: Instant) -> Result<(), Error>;
+    async fn hold(&self, held: &Quarantined, until: Instant) -> Result<(), Error>;
     /// Takes a request off those that are held back.
     async fn lift(&self, request: Fingerprint, until: Instant) -> Result<(), Error>;
     /// Joins a group, or stays in it.
--- a/crates/tinbank-gateway/src/feed.rs
+++ b/crates/tinbank-gateway/src/feed.rs
@@ -14,7 +14,7 @@
 
 pub(crate) use self::{
     follower::follow,
-    introduction::{introduced, name_lead},
+    introduction::{introduced, register_first_delegate},
     server::serve,
 };
 use crate::{border::store::List, sharing::Sharing};
@@ -68,14 +68,14 @@
     }
 
     /// Waits until this host is a delegate.
-    pub async fn on_duty(&self) {
+    pub async fn wait_until_delegate(&self) {
         while !self.is_delegate() {
             self.changed.notified().await;
         }
     }
 
     /// Waits until this host is no delegate.
-    pub async fn off_duty(&self) {
+    pub async fn wait_until_not_delegate(&self) {
         while self.is_delegate() {
             self.changed.notified().await;
         }
@@ -90,14 +90,14 @@
 
     fn is_reader(&self, list: List) -> bool {
         let has_nobody = list == List::Hosts && !self.has_hosts.get();
-        let on_duty = match list {
+        let by_role = match list {
             // They change with each heartbeat of an upstream, so that each reader costs the store as much as all that it tells.
             List::Upstreams | List::Hosts => self.reads_lists(),
             List::Config | List::Quarantine => self.is_delegate(),
             List::Leads => false,
         };
         let begins = self.is_named.get() && !self.has_hosts.get();
-        has_nobody || on_duty || begins || self.alone.get()
+        has_nobody || by_role || begins || self.alone.get()
     }
 
     /// True while this host is the first delegate of its failure domain.
@@ -125,7 +125,7 @@
     /// The list of hosts was read, here or at a delegate.
     pub fn listed(&self, sharing: &Sharing, now: Instant) {
         if self.has_hosts.replace(true) {
-            return self.look(sharing, now);
+            return self.update_role(sharing, now);
         }
         let in_place = sharing.is_in_place(now);
         self.is_first.set(sharing.is_allocator(now));
@@ -136,7 +136,7 @@
     }
 
     /// Takes in which hosts are silent now.
-    pub fn look(&self, sharing: &Sharing, now: Instant) {
+    pub fn update_role(&self, sharing: &Sharing, now: Instant) {
         let in_place = sharing.is_in_place(now);
         if self.delegation.borrow_mut().place(in_place, now) {
             log::info!(delegate = in_place; "duty of this host changes");
--- a/crates/tinbank-gateway/src/feed/follower.rs
+++ b/crates/tinbank-gateway/src/feed/follower.rs
@@ -102,7 +102,7 @@
         true => Scope::Whole,
         false => Scope::Domain(node.settings.failure_domain.clone()),
     };
-    let is_narrow = scope != Scope::Whole;
+    let is_own_domain_only = scope != Scope::Whole;
     let longest_wait = wait(&scope);
     let Some(answer) = node.clock.unpaused(exchange(node, delegate, scope)).await else {
         log::info!(delegate:%; "answer of a delegate not believed, the process was paused meanwhile");
@@ -122,7 +122,7 @@
     }
     // An answer that lay here while the process was paused is older than it seems.
     let told_at = Instant::now().min(asked_at + longest_wait);
-    view::take_told(node, update, told_at, is_narrow);
+    view::take_told(node, update, told_at, is_own_domain_only);
     is_fresh
 }
 
@@ -135,7 +135,7 @@
     let lists = &node.view.lists;
     let upstreams = lists.of(List::Upstreams);
     // What is known of another scope is no part of what is asked for.
-    let is_same_scope = node.view.is_narrow() == (scope != Scope::Whole);
+    let is_same_scope = node.view.is_own_domain_only() == (scope != Scope::Whole);
     let wait = wait(&scope);
     let ask = Ask {
         config: node.view.config().map(|config| config.version),
--- a/crates/tinbank-gateway/src/feed/introduction.rs
+++ b/crates/tinbank-gateway/src/feed/introduction.rs
@@ -12,7 +12,7 @@
 use tinbank_feed::{
     delegation::DELAY,
     message::Scope,
-    source::{self, Lead},
+    source::{self, FirstDelegate},
 };
 use tokio::time;
 
@@ -56,7 +56,7 @@
             return;
         }
         match exchange(node, delegate, Scope::Hosts).await {
-            Ok(update) => view::take_told(node, update, asked_at, node.view.is_narrow()),
+            Ok(update) => view::take_told(node, update, asked_at, node.view.is_own_domain_only()),
             Err(why) => log::info!(delegate:%, why:%; "list of hosts not told by a delegate"),
         }
         if node.feed.has_hosts() {
@@ -68,12 +68,12 @@
     }
 }
 
-async fn leads(node: &Node) -> Result<Vec<Lead>, Error> {
+async fn leads(node: &Node) -> Result<Vec<FirstDelegate>, Error> {
     let until = Instant::now() + CALL_TIMEOUT;
     let page = node.store.newest(List::Leads, None, until).await?;
     let leads = page.entries.into_iter();
     let leads = leads.filter_map(|written| match written {
-        Written::Lead(lead) => Some(lead),
+        Written::FirstDelegate(lead) => Some(lead),
         _ => None,
     });
     Ok(leads.collect())
@@ -81,7 +81,7 @@
 
 /// Names this host in the store whenever it has become the first delegate of its failure domain, and has been for a while: by
 /// the first list that it reads, which may name few hosts, many take themselves for it.
-pub(crate) async fn name_lead(node: Rc<Node>) {
+pub(crate) async fn register_first_delegate(node: Rc<Node>) {
     loop {
         node.feed.first().await;
         let named_from = Instant::now() + DELAY;
@@ -96,7 +96,7 @@
 }
 
 async fn name(node: &Node) -> bool {
-    let lead = Lead {
+    let lead = FirstDelegate {
         failure_domain: node.settings.failure_domain.clone(),
         address: node.sharing.own().address,
     };
--- a/crates/tinbank-gateway/src/feed/server.rs
+++ b/crates/tinbank-gateway/src/feed/server.rs
@@ -145,7 +145,7 @@
     let config = view.config().filter(|it| Some(it.version) > ask.config);
     let mut age = view.age(now);
     let is_own = |domain| domain == &node.settings.failure_domain;
-    let knows_all = !view.is_narrow() || matches!(&ask.scope, Scope::Domain(it) if is_own(it));
+    let knows_all = !view.is_own_domain_only() || matches!(&ask.scope, Scope::Domain(it) if is_own(it));
     if !knows_all {
         age.upstreams = None;
     }
--- a/crates/tinbank-gateway/src/node.rs
+++ b/crates/tinbank-gateway/src/node.rs
@@ -91,7 +91,7 @@
             return pauses;
         };
         log::warn!(pause_ms = pause.as_millis() as u64; "process was paused, reading everything again");
-        self.view.distrust();
+        self.view.invalidate_config();
         self.batch.distrust();
         self.sharing.forget(now.steady);
         pauses
@@ -101,7 +101,7 @@
     pub fn deal(&self) {
         let dealt = self
             .view
-            .dealt(&self.settings.failure_domain, Instant::now());
+            .allocatable(&self.settings.failure_domain, Instant::now());
         self.sharing.list(dealt);
     }
 
--- a/crates/tinbank-gateway/src/quarantine/look.rs
+++ b/crates/tinbank-gateway/src/quarantine/look.rs
@@ -7,7 +7,7 @@
 
 use smallvec::SmallVec;
 use tinbank_base::id;
-use tinbank_quarantine::{Blamed, Report, fingerprint::short};
+use tinbank_quarantine::{InFlight, Report, fingerprint::short};
 use tokio::{task, time};
 
 use crate::{
@@ -26,14 +26,14 @@
 const LOOKS: usize = 3;
 
 /// Requests whose connections an upstream broke off.
-pub(super) type Broken = SmallVec<[Blamed; 2]>;
+pub(super) type Broken = SmallVec<[InFlight; 2]>;
 
 /// An upstream broke off the connection of a request.
-pub(crate) fn broken(
+pub(crate) fn record_broken_connection(
     node: &Rc<Node>,
     upstream: &id::Instance,
     address: SocketAddr,
-    blamed: Blamed,
+    blamed: InFlight,
 ) {
     let mut broken = node.quarantine.broken.borrow_mut();
     let is_new = !broken.contains_key(upstream);
--- a/crates/tinbank-gateway/src/quarantine/mod.rs
+++ b/crates/tinbank-gateway/src/quarantine/mod.rs
@@ -12,11 +12,11 @@
 use log::Level;
 use tinbank_base::id;
 use tinbank_quarantine::{
-    Fingerprint, Held, News, Position, Report, Table, fingerprint::short, table::Change,
+    Fingerprint, Quarantined, Update, Position, Report, Table, fingerprint::short, table::Change,
 };
 use tokio::sync::Notify;
 
-pub(crate) use self::{look::broken, record::keep, tell::tell};
+pub(crate) use self::{look::record_broken_connection, record::write_to_store, tell::broadcast};
 use crate::{
     border::{engine::Request, store::Written},
     node::Node,
@@ -34,14 +34,14 @@
     /// Told when the store may lack something.
     changed: Notify,
     /// What other hosts are to be told.
-    outbox: RefCell<Vec<News>>,
+    outbox: RefCell<Vec<Update>>,
     /// Told when there is something in it.
     posted: Notify,
 }
 
 impl Quarantine {
     /// Until when no upstream gets a request, if it is held back. Asked before each send.
-    pub fn held_until(&self, request: &Request, now: Instant) -> Option<Instant> {
+    pub fn quarantined_until(&self, request: &Request, now: Instant) -> Option<Instant> {
         let table = self.table.borrow();
         if !table.holds_any() {
             return None;
@@ -50,7 +50,7 @@
     }
 
     /// Requests that stand in the store, as this host has read or written it.
-    pub fn listed(&self) -> Vec<Held> {
+    pub fn listed(&self) -> Vec<Quarantined> {
         self.table.borrow().listed()
     }
 
@@ -59,15 +59,15 @@
         let is_news = is_whole || !entries.is_empty();
         if is_whole {
             let listed = entries.into_iter().filter_map(|written| match written {
-                Written::Held(held) => Some(held),
+                Written::Quarantined(held) => Some(held),
                 _ => None,
             });
-            self.read_all(&listed.collect::<Vec<Held>>(), now);
+            self.read_all(&listed.collect::<Vec<Quarantined>>(), now);
             return is_news;
         }
         for written in entries {
             match written {
-                Written::Held(held) => {
+                Written::Quarantined(held) => {
                     let change = self.table.borrow_mut().list(held, now);
                     self.note(change, "the store");
                 }
@@ -79,7 +79,7 @@
     }
 
     /// Takes in all that stands in the store.
-    pub fn read_all(&self, listed: &[Held], now: Instant) {
+    pub fn read_all(&self, listed: &[Quarantined], now: Instant) {
         let changes = self.table.borrow_mut().list_all(listed, now);
         self.note(changes, "the store");
     }
@@ -93,7 +93,7 @@
     /// This host has seen an upstream end.
     fn saw_end(&self, report: Report) {
         self.blame(&report, OWN);
-        self.post(News::Ended(report));
+        self.post(Update::Ended(report));
     }
 
     /// True if anything is believed of a request.
@@ -101,7 +101,7 @@
         self.table.borrow().suspects(request)
     }
 
-    fn post(&self, news: News) {
+    fn post(&self, news: Update) {
         self.outbox.borrow_mut().push(news);
         self.posted.notify_one();
     }
@@ -115,12 +115,12 @@
 }
 
 /// A request has got a whole answer, so it ends no upstreams. Others hear of it if anybody thought so.
-pub(crate) fn survived(node: &Rc<Node>, request: &Request) {
+pub(crate) fn record_completion(node: &Rc<Node>, request: &Request) {
     cleared(node, request, |table, request| table.clear(request));
 }
 
 /// A request got this far at an upstream, whatever came then.
-pub(crate) fn passed(node: &Rc<Node>, request: &Request, reached: Position) {
+pub(crate) fn record_progress(node: &Rc<Node>, request: &Request, reached: Position) {
     cleared(node, request, |table, request| table.pass(request, reached));
 }
 
@@ -138,15 +138,15 @@
         return;
     }
     node.quarantine.note(change, OWN);
-    node.quarantine.post(News::Survived(request));
+    node.quarantine.post(Update::Survived(request));
 }
 
 /// Another host has told something of a request.
-pub(crate) fn told(node: &Node, from: SocketAddr, news: News) {
+pub(crate) fn apply_update(node: &Node, from: SocketAddr, news: Update) {
     let by = from.to_string();
     match news {
-        News::Ended(report) => node.quarantine.blame(&report, &by),
-        News::Survived(request) => {
+        Update::Ended(report) => node.quarantine.blame(&report, &by),
+        Update::Survived(request) => {
             let change = node.quarantine.table.borrow_mut().clear(request);
             node.quarantine.note(change, &by);
         }
@@ -160,14 +160,14 @@
         _ => Level::Debug,
     };
     match change {
-        Change::Suspected(Held {
+        Change::Suspected(Quarantined {
             request,
             ended,
             reached,
         }) => {
             log::log!(level, content:% = short(request), ended, reached, by; "upstream ended under a request");
         }
-        Change::HeldBack(Held {
+        Change::HeldBack(Quarantined {
             request,
             ended,
             reached,
--- a/crates/tinbank-gateway/src/quarantine/record.rs
+++ b/crates/tinbank-gateway/src/quarantine/record.rs
@@ -18,7 +18,7 @@
 
 /// Writes for as long as the process runs. The allocators of all failure domains do so, so each request is written a few times
 /// at most, however many hosts hold it back.
-pub(crate) async fn keep(node: Rc<Node>) {
+pub(crate) async fn write_to_store(node: Rc<Node>) {
     loop {
         // A change wakes it at once; without one it looks again after a while.
         let _ = time::timeout(ROUND, node.quarantine.changed.notified()).await;
--- a/crates/tinbank-gateway/src/quarantine/tell.rs
+++ b/crates/tinbank-gateway/src/quarantine/tell.rs
@@ -3,7 +3,7 @@
 use std::{rc::Rc, time::Duration};
 
 use tinbank_allocator::frame::Frame;
-use tinbank_quarantine::News;
+use tinbank_quarantine::Update;
 use tokio::{task, time};
 
 use crate::node::Node;
@@ -13,7 +13,7 @@
 const AGAIN: Duration = Duration::from_millis(150);
 
 /// Tells for as long as the process runs.
-pub(crate) async fn tell(node: Rc<Node>) {
+pub(crate) async fn broadcast(node: Rc<Node>) {
     loop {
         node.quarantine.posted.notified().await;
         let news = node.quarantine.outbox.take();
@@ -23,7 +23,7 @@
     }
 }
 
-async fn tell_twice(node: Rc<Node>, news: News) {
+async fn tell_twice(node: Rc<Node>, news: Update) {
     node.sharing.tell_all(&Frame::Quarantine(news.clone()));
     time::sleep(AGAIN).await;
     if let Some(news) = still_true(&node, news) {
@@ -32,12 +32,12 @@
 }
 
 /// What is left of news after a while: requests that were cleared since are not blamed again.
-fn still_true(node: &Node, news: News) -> Option<News> {
-    let News::Ended(mut report) = news else {
+fn still_true(node: &Node, news: Update) -> Option<Update> {
+    let Update::Ended(mut report) = news else {
         return Some(news);
     };
     report
         .requests
         .retain(|it| node.quarantine.suspects(it.request));
-    (!report.requests.is_empty()).then_some(News::Ended(report))
+    (!report.requests.is_empty()).then_some(Update::Ended(report))
 }
--- a/crates/tinbank-gateway/src/relay/answer.rs
+++ b/crates/tinbank-gateway/src/relay/answer.rs
@@ -12,7 +12,7 @@
 use http_body::{Body, Frame, SizeHint};
 use hyper::body::Incoming;
 use tinbank_base::id;
-use tinbank_quarantine::Blamed;
+use tinbank_quarantine::InFlight;
 use tinbank_relay::event;
 
 use crate::{border::engine::Request, node::Node, quarantine};
@@ -30,11 +30,11 @@
 impl Witness {
     /// The upstream closed the connection before the answer was whole. It may have ended, perhaps by this request.
     pub fn broken(&self) {
-        let blamed = Blamed {
+        let blamed = InFlight {
             request: self.request.fingerprint(),
             reached: self.reached.get(),
         };
-        quarantine::broken(&self.node, &self.upstream, self.address, blamed);
+        quarantine::record_broken_connection(&self.node, &self.upstream, self.address, blamed);
     }
 }
 
@@ -54,8 +54,8 @@
             ..
         } = &self.witness;
         match self.is_whole.get() {
-            true => quarantine::survived(node, request),
-            false => quarantine::passed(node, request, reached.get()),
+            true => quarantine::record_completion(node, request),
+            false => quarantine::record_progress(node, request, reached.get()),
         }
     }
 }
--- a/crates/tinbank-gateway/src/relay/attempt.rs
+++ b/crates/tinbank-gateway/src/relay/attempt.rs
@@ -59,7 +59,7 @@
     let now = Instant::now();
     // The one place through which requests, resumed streams and items go to upstreams. It may have waited for its slot while
     // other copies of it ended upstreams.
-    if node.quarantine.held_until(request, now).is_some() {
+    if node.quarantine.quarantined_until(request, now).is_some() {
         return Err(held_back(request, &lease));
     }
     let attempt = Attempt {
@@ -105,7 +105,7 @@
         }),
         Verdict::NotRun => Err(refused(request, &lease, &head, "refused", Trouble::NotRun)),
         Verdict::OtherInstance => {
-            node.view.leave(&lease.upstream);
+            node.view.mark_leaving(&lease.upstream);
             let why = "other_instance";
             Err(refused(request, &lease, &head, why, Trouble::NotRun))
         }
--- a/crates/tinbank-gateway/src/relay/mod.rs
+++ b/crates/tinbank-gateway/src/relay/mod.rs
@@ -55,7 +55,7 @@
     node.notice_pause();
     let at = Moment::read();
     let received = at.steady;
-    let Some(config) = node.view.config_once_known(received + FIRST_READ).await else {
+    let Some(config) = node.view.wait_for_config(received + FIRST_READ).await else {
         return refuse(node, &call.id, "no configuration known yet");
     };
     let Some(route) = config.route(&call.host, &call.path).cloned() else {
--- a/crates/tinbank-gateway/src/relay/online.rs
+++ b/crates/tinbank-gateway/src/relay/online.rs
@@ -171,7 +171,7 @@
             return Err(self.attempts.give_up());
         }
         // Asked for again in `attempt::send`: this one spares the wait for a slot, and the caller hears at once.
-        self.held_until = self.node.quarantine.held_until(&self.request, now);
+        self.held_until = self.node.quarantine.quarantined_until(&self.request, now);
         if self.held_until.is_some() {
             return Err(self.attempts.give_up());
         }
--- a/crates/tinbank-gateway/src/run.rs
+++ b/crates/tinbank-gateway/src/run.rs
@@ -145,18 +145,18 @@
     let is_ready = move || serve::readiness(&checked);
     task::spawn_local(serve::always(readiness, Rc::new(is_ready)));
     let told = Rc::clone(node);
-    let news = move |from, news| quarantine::told(&told, from, news);
+    let news = move |from, news| quarantine::apply_update(&told, from, news);
     task::spawn_local(sharing::receive(Rc::clone(&node.sharing), news));
     task::spawn_local(sharing::heartbeat(Rc::clone(node)));
     task::spawn_local(sharing::tell_counts(Rc::clone(&node.sharing)));
     task::spawn_local(feed::follow(Rc::clone(node)));
-    task::spawn_local(feed::name_lead(Rc::clone(node)));
+    task::spawn_local(feed::register_first_delegate(Rc::clone(node)));
     task::spawn_local(sharing::survey(Rc::clone(node)));
     for list in [List::Config, List::Upstreams, List::Hosts, List::Quarantine] {
         task::spawn_local(view::follow(Rc::clone(node), list));
     }
-    task::spawn_local(quarantine::keep(Rc::clone(node)));
-    task::spawn_local(quarantine::tell(Rc::clone(node)));
+    task::spawn_local(quarantine::write_to_store(Rc::clone(node)));
+    task::spawn_local(quarantine::broadcast(Rc::clone(node)));
     batch::start(node);
     task::spawn_local(register(Rc::clone(node)));
     task::spawn_local(watch(Rc::clone(node)));
@@ -166,12 +166,12 @@
 /// store may do what it asked for seconds later, when the host has already started again.
 async fn register(node: Rc<Node>) {
     node.view
-        .hosts_once_known(Instant::now() + FIRST_LIST)
+        .wait_for_hosts(Instant::now() + FIRST_LIST)
         .await;
     while !node.stop.is_stopping() {
         if node.view.is_listed(node.sharing.own()) {
             node.view
-                .host_taken_off(node.sharing.own(), Instant::now())
+                .wait_until_deregistered(node.sharing.own(), Instant::now())
                 .await;
             continue;
         }
@@ -179,7 +179,7 @@
         match node.store.register(node.sharing.own(), until).await {
             Ok(()) => {
                 node.view
-                    .host_taken_off(node.sharing.own(), Instant::now())
+                    .wait_until_deregistered(node.sharing.own(), Instant::now())
                     .await
             }
             Err(error) => {
--- a/crates/tinbank-gateway/src/sharing/peers.rs
+++ b/crates/tinbank-gateway/src/sharing/peers.rs
@@ -12,7 +12,7 @@
     frame::{self, Frame, Grant, Holdings, MAX_BYTES, Release, Verdict},
     lease::{self, Held, Outcome},
 };
-use tinbank_quarantine::News;
+use tinbank_quarantine::Update;
 use tokio::time;
 
 use super::Sharing;
@@ -184,7 +184,7 @@
 
 /// Receives datagrams for as long as the process runs.
 /// What they tell of requests that end upstreams is passed to `news`.
-pub(crate) async fn receive(sharing: Rc<Sharing>, news: impl Fn(SocketAddr, News)) {
+pub(crate) async fn receive(sharing: Rc<Sharing>, news: impl Fn(SocketAddr, Update)) {
     let mut buffer = vec![0; MAX_BYTES];
     loop {
         let (length, from) = match sharing.socket.recv_from(&mut buffer).await {
@@ -217,6 +217,6 @@
         let now = Instant::now();
         sharing.tell_holdings(now);
         sharing.ping(now);
-        node.feed.look(sharing, now);
+        node.feed.update_role(sharing, now);
     }
 }
--- a/crates/tinbank-gateway/src/view.rs
+++ b/crates/tinbank-gateway/src/view.rs
@@ -46,7 +46,7 @@
     upstreams: RefCell<Listing>,
     upstreams_read_at: Cell<Option<Instant>>,
     /// Only the upstreams of the own failure domain are known.
-    is_narrow: Cell<bool>,
+    is_own_domain_only: Cell<bool>,
     peers: RefCell<HashMap<SocketAddr, Peer>>,
     peers_read_at: Cell<Option<Instant>>,
     evacuations: RefCell<Evacuations>,
@@ -64,7 +64,7 @@
     }
 
     /// The configuration in force. A process that has just started waits until it knows it and the upstreams.
-    pub async fn config_once_known(&self, until: Instant) -> Option<Rc<Config>> {
+    pub async fn wait_for_config(&self, until: Instant) -> Option<Rc<Config>> {
         while !self.is_known() {
             let refreshed = time::timeout_at(until.into(), self.refreshed.notified());
             if refreshed.await.is_err() {
@@ -75,7 +75,7 @@
     }
 
     /// Waits until the configuration and all upstreams were read.
-    pub async fn known(&self) {
+    pub async fn wait_until_known(&self) {
         while !self.is_known() || self.lists.of(List::Upstreams).position().is_none() {
             self.refreshed.notified().await;
         }
@@ -96,7 +96,7 @@
     }
 
     /// Waits until the list of hosts was read, or for so long.
-    pub async fn hosts_once_known(&self, until: Instant) {
+    pub async fn wait_for_hosts(&self, until: Instant) {
         while self.peers_read_at.get().is_none() {
             let refreshed = time::timeout_at(until.into(), self.refreshed.notified());
             if refreshed.await.is_err() {
@@ -131,8 +131,8 @@
     }
 
     /// True if only the upstreams of the own failure domain are known.
-    pub fn is_narrow(&self) -> bool {
-        self.is_narrow.get()
+    pub fn is_own_domain_only(&self) -> bool {
+        self.is_own_domain_only.get()
     }
 
     /// The failure domains whose upstreams get nothing new.
@@ -146,7 +146,7 @@
     }
 
     /// Waits until a list of hosts that was read after some time lacks a host.
-    pub async fn host_taken_off(&self, host: &Peer, after: Instant) {
+    pub async fn wait_until_deregistered(&self, host: &Peer, after: Instant) {
         loop {
             self.refreshed.notified().await;
             let is_newer = self.peers_read_at.get().is_some_and(|at| at > after);
@@ -175,7 +175,7 @@
     }
 
     /// Forgets when it read, after a pause of the process, so that nothing older than the pause is acted on.
-    pub fn distrust(&self) {
+    pub fn invalidate_config(&self) {
         self.config_read_at.set(None);
     }
 
@@ -198,7 +198,7 @@
     }
 
     /// True if an upstream of a service takes requests beside those given.
-    pub fn has_upstream_beside(&self, service: &str, others: &[id::Instance]) -> bool {
+    pub fn has_other_upstream(&self, service: &str, others: &[id::Instance]) -> bool {
         let listing = self.upstreams.borrow();
         let mut fit = self.serving(&listing).filter(|it| it.service == service);
         fit.any(|it| !others.contains(&it.instance))
@@ -210,7 +210,7 @@
     }
 
     /// An upstream said itself that it is leaving or gone.
-    pub fn leave(&self, instance: &id::Instance) {
+    pub fn mark_leaving(&self, instance: &id::Instance) {
         self.upstreams.borrow_mut().leave(instance);
     }
 
@@ -262,7 +262,7 @@
     }
 
     /// The upstreams that the allocator of a failure domain deals out.
-    pub fn dealt(&self, failure_domain: &str, now: Instant) -> Vec<allocator::Upstream> {
+    pub fn allocatable(&self, failure_domain: &str, now: Instant) -> Vec<allocator::Upstream> {
         let listing = self.upstreams.borrow();
         let mut dealt: Vec<_> = self
             .serving(&listing)
--- a/crates/tinbank-gateway/src/view/entries.rs
+++ b/crates/tinbank-gateway/src/view/entries.rs
@@ -113,11 +113,11 @@
     let view = &node.view;
     let end = read.end;
     if whole {
-        view.is_narrow.set(!node.feed.tells_others());
+        view.is_own_domain_only.set(!node.feed.tells_others());
     }
     let own = &node.settings.failure_domain;
-    let is_narrow = view.is_narrow();
-    let is_wanted = |it: &Upstream| !is_narrow || it.failure_domain == *own;
+    let is_own_domain_only = view.is_own_domain_only();
+    let is_wanted = |it: &Upstream| !is_own_domain_only || it.failure_domain == *own;
     let mut listing = view.upstreams.borrow_mut();
     let entries = read.entries.into_iter();
     let mut changes: Changes = match whole {
@@ -127,7 +127,7 @@
                 _ => None,
             });
             let changes = listing.replace(listed.collect(), now);
-            if is_narrow {
+            if is_own_domain_only {
                 listing.narrow(own);
             }
             changes
@@ -163,12 +163,12 @@
     if view.lists.of(List::Upstreams).position().is_some() {
         return;
     }
-    let is_narrow = !node.feed.tells_others();
+    let is_own_domain_only = !node.feed.tells_others();
     let own = &node.settings.failure_domain;
     let mut listing = view.upstreams.borrow_mut();
     for written in page {
         if let Written::Upstream(upstream) = written
-            && (!is_narrow || upstream.failure_domain == *own)
+            && (!is_own_domain_only || upstream.failure_domain == *own)
         {
             listing.add(upstream).iter().for_each(log_change);
         }
--- a/crates/tinbank-gateway/src/view/lists.rs
+++ b/crates/tinbank-gateway/src/view/lists.rs
@@ -2,7 +2,7 @@
 
 use std::{rc::Rc, time::Duration};
 
-use tinbank_feed::Patience;
+use tinbank_feed::ResponseTimeout;
 use tokio::time;
 
 use super::{
@@ -25,14 +25,14 @@
 /// Follows a list for as long as the process runs: at the store while it falls to this host to read it.
 pub(crate) async fn follow(node: Rc<Node>, list: List) {
     let mut pages = Pages::default();
-    let mut patience = Patience::new(ANSWER_TIMEOUT);
+    let mut patience = ResponseTimeout::new(ANSWER_TIMEOUT);
     let mut dependency = Dependency::new(name(list));
     if list == List::Hosts {
         feed::introduced(&node).await;
     }
     loop {
         node.feed.reads(list).await;
-        if list == List::Upstreams && node.feed.tells_others() && node.view.is_narrow() {
+        if list == List::Upstreams && node.feed.tells_others() && node.view.is_own_domain_only() {
             // Others are to be told of all upstreams.
             node.view.lists.of(list).forget();
         }
@@ -40,13 +40,13 @@
         node.view.note_contact(list, &read);
         match read {
             Ok(Read::Part(entries)) => {
-                patience.answered();
+                patience.on_response();
                 if list == List::Upstreams {
                     take_page(&node, entries);
                 }
             }
             Ok(Read::Since(entries)) => {
-                patience.answered();
+                patience.on_response();
                 dependency.reached();
                 let news = !entries.entries.is_empty();
                 take_in(&node, list, entries, false);
@@ -55,7 +55,7 @@
                 }
             }
             Ok(Read::Whole(entries)) => {
-                patience.answered();
+                patience.on_response();
                 dependency.reached();
                 take_in(&node, list, entries, true);
                 time::sleep(REST).await;
@@ -65,7 +65,7 @@
                     node.view.lists.of(list).forget();
                 }
                 if matches!(error, Error::Unknown(_)) {
-                    patience.missed();
+                    patience.on_timeout();
                 }
                 // What is known stays in force.
                 dependency.failed(&error);
--- a/crates/tinbank-gateway/src/view/told.rs
+++ b/crates/tinbank-gateway/src/view/told.rs
@@ -22,7 +22,7 @@
 
 /// Takes in what a delegate told at some time. What it told of the upstreams is of all of them, or only of those of the own
 /// failure domain.
-pub(crate) fn take_told(node: &Node, update: Update, told_at: Instant, is_narrow: bool) {
+pub(crate) fn take_told(node: &Node, update: Update, told_at: Instant, is_own_domain_only: bool) {
     let view = &node.view;
     if let Some(snapshot) = newer(&view.lists.evacuations, update.evacuations) {
         let changes = view.evacuations.borrow_mut().replace(snapshot.entries);
@@ -34,7 +34,7 @@
     }
     let mut upstreams_changed = false;
     if let Some(part) = newer(view.lists.of(List::Upstreams), update.upstreams) {
-        upstreams_changed = take_upstreams(node, part, is_narrow);
+        upstreams_changed = take_upstreams(node, part, is_own_domain_only);
     }
     if let Some(settled) = update.settled {
         view.lists.of(List::Upstreams).settle(settled);
@@ -63,16 +63,16 @@
 }
 
 /// True if something is believed anew.
-fn take_upstreams(node: &Node, part: Part<Upstream, id::Instance>, is_narrow: bool) -> bool {
+fn take_upstreams(node: &Node, part: Part<Upstream, id::Instance>, is_own_domain_only: bool) -> bool {
     let view = &node.view;
     let position = part.position;
     let mut listing = view.upstreams.borrow_mut();
     let changes = match part.is_whole {
         true => {
-            if is_narrow {
+            if is_own_domain_only {
                 listing.narrow(&node.settings.failure_domain);
             }
-            view.is_narrow.set(is_narrow);
+            view.is_own_domain_only.set(is_own_domain_only);
             view.lists.changed_upstreams.borrow_mut().restart(position);
             listing.mirror(part.entries)
         }
--- a/crates/tinbank-gateway/src/watch.rs
+++ b/crates/tinbank-gateway/src/watch.rs
@@ -13,8 +13,8 @@
 use async_trait::async_trait;
 use bytes::Bytes;
 use tinbank_allocator::directory::Peer;
-use tinbank_feed::source::Lead;
-use tinbank_quarantine::{Fingerprint, Held};
+use tinbank_feed::source::FirstDelegate;
+use tinbank_quarantine::{Fingerprint, Quarantined};
 use tokio::sync::Notify;
 
 use crate::{
@@ -165,11 +165,11 @@
         self.call(self.store.unregister(host, until)).await
     }
 
-    async fn name_lead(&self, lead: &Lead, until: Instant) -> Result<(), Error> {
+    async fn name_lead(&self, lead: &FirstDelegate, until: Instant) -> Result<(), Error> {
         self.call(self.store.name_lead(lead, until)).await
     }
 
-    async fn hold(&self, held: &Held, until: Instant) -> Result<(), Error> {
+    async fn hold(&self, held: &Quarantined, until: Instant) -> Result<(), Error> {
         self.call(self.store.hold(held, until)).await
     }
 
--- a/crates/tinbank-quarantine/src/lib.rs
+++ b/crates/tinbank-quarantine/src/lib.rs
@@ -8,5 +8,5 @@
 pub mod table;
 
 pub use fingerprint::{Content, Fingerprint};
-pub use report::{Blamed, Held, News, Position, Report};
+pub use report::{InFlight, Quarantined, Update, Position, Report};
 pub use table::Table;
--- a/crates/tinbank-quarantine/src/report.rs
+++ b/crates/tinbank-quarantine/src/report.rs
@@ -15,12 +15,12 @@
     /// The upstream.
     pub upstream: id::Instance,
     /// The requests; one of all that it ran may be the reason, or none.
-    pub requests: SmallVec<[Blamed; 2]>,
+    pub requests: SmallVec<[InFlight; 2]>,
 }
 
 /// A request that an upstream had when it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Blamed {
+pub struct InFlight {
     /// The request.
     pub request: Fingerprint,
     /// Last event of its answer that had come by then; 0 before the first.
@@ -29,7 +29,7 @@
 
 /// What hosts tell each other of requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum News {
+pub enum Update {
     /// An upstream has ended under some.
     Ended(Report),
     /// One got further than where upstreams had ended while they ran it.
@@ -38,7 +38,7 @@
 
 /// A request that no upstream gets, as it stands in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct Quarantined {
     /// The request.
     pub request: Fingerprint,
     /// Upstreams that have ended under it.
--- a/crates/tinbank-quarantine/src/table.rs
+++ b/crates/tinbank-quarantine/src/table.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     Fingerprint,
-    report::{Blamed, Held, Position, Report},
+    report::{InFlight, Quarantined, Position, Report},
 };
 
 /// Upstreams that have to end under a request before it is held back. With two, one bystander of some 570 that were blamed would have
@@ -43,9 +43,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
     /// One more upstream has ended under it, too few to hold it back.
-    Suspected(Held),
+    Suspected(Quarantined),
     /// It is held back from now on, or for longer.
-    HeldBack(Held),
+    HeldBack(Quarantined),
     /// It is not held back any more, and nothing is known against it.
     Cleared(Fingerprint),
 }
@@ -54,7 +54,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Write {
     /// A request that is held back.
-    Hold(Held),
+    Hold(Quarantined),
     /// One that is not held back any more.
     Lift(Fingerprint),
 }
@@ -110,7 +110,7 @@
     }
 
     /// Requests that stand in the store.
-    pub fn listed(&self) -> Vec<Held> {
+    pub fn listed(&self) -> Vec<Quarantined> {
         let listed = self.suspects.iter().filter(|(_, it)| it.is_listed);
         listed.map(|(request, it)| it.held(*request)).collect()
     }
@@ -133,11 +133,11 @@
 
     fn blame_one(
         &mut self,
-        blamed: Blamed,
+        blamed: InFlight,
         upstream: &id::Instance,
         now: Instant,
     ) -> Option<Change> {
-        let Blamed { request, reached } = blamed;
+        let InFlight { request, reached } = blamed;
         self.make_room(request);
         let suspect = self.suspects.entry(request);
         let suspect = suspect.or_insert_with(|| Suspect::new(now));
@@ -189,7 +189,7 @@
     }
 
     /// Takes in a request that stands in the store.
-    pub fn list(&mut self, held: Held, now: Instant) -> Option<Change> {
+    pub fn list(&mut self, held: Quarantined, now: Instant) -> Option<Change> {
         if self.to_lift.contains(&held.request) {
             return None;
         }
@@ -218,7 +218,7 @@
     }
 
     /// Takes in all requests that stand in the store. What stood there before and does not now was taken out.
-    pub fn list_all(&mut self, listed: &[Held], now: Instant) -> Vec<Change> {
+    pub fn list_all(&mut self, listed: &[Quarantined], now: Instant) -> Vec<Change> {
         let names: HashSet<Fingerprint> = listed.iter().map(|it| it.request).collect();
         self.to_lift.retain(|request| names.contains(request));
         for (request, suspect) in &mut self.suspects {
@@ -295,8 +295,8 @@
         }
     }
 
-    fn held(&self, request: Fingerprint) -> Held {
-        Held {
+    fn held(&self, request: Fingerprint) -> Quarantined {
+        Quarantined {
             request,
             ended: self.ended,
             reached: self.reached,
--- a/crates/tinbank-quarantine/tests/fleet/play.rs
+++ b/crates/tinbank-quarantine/tests/fleet/play.rs
@@ -7,7 +7,7 @@
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use tinbank_base::id;
-use tinbank_quarantine::{Blamed, Fingerprint, Held, News, Report, Table, table::Write};
+use tinbank_quarantine::{InFlight, Fingerprint, Quarantined, Update, Report, Table, table::Write};
 
 const DEADLY: Fingerprint = 1;
 /// Milliseconds of a step, until the first event and from one to the next, from the begin of a deadly run to the end of its upstream, and until that is back.
@@ -80,9 +80,9 @@
 
 struct Host {
     table: Table,
-    inbox: Vec<(u64, News)>,
+    inbox: Vec<(u64, Update)>,
     /// Reads of what is held back, by the time at which they are done.
-    reads: Vec<(u64, Vec<Held>)>,
+    reads: Vec<(u64, Vec<Quarantined>)>,
 }
 
 /// A request on its way. What it has of its answer it keeps when it comes again.
@@ -124,8 +124,8 @@
     hosts: Vec<Host>,
     upstreams: Vec<Upstream>,
     starts: usize,
-    stored: BTreeMap<Fingerprint, Held>,
-    reports: Vec<News>,
+    stored: BTreeMap<Fingerprint, Quarantined>,
+    reports: Vec<Update>,
     tries: Vec<(u64, Request)>,
     third_at: Option<u64>,
     outcome: Outcome,
@@ -224,14 +224,14 @@
             host.inbox = later;
             for (_, news) in due {
                 match news {
-                    News::Ended(report) => drop(host.table.blame(&report, at)),
-                    News::Survived(request) => drop(host.table.clear(request)),
+                    Update::Ended(report) => drop(host.table.blame(&report, at)),
+                    Update::Survived(request) => drop(host.table.clear(request)),
                 }
             }
             let (due, later) = host.reads.drain(..).partition(|(time, _)| *time <= now);
             host.reads = later;
             due.into_iter()
-                .for_each(|(_, held): (u64, Vec<Held>)| drop(host.table.list_all(&held, at)));
+                .for_each(|(_, held): (u64, Vec<Quarantined>)| drop(host.table.list_all(&held, at)));
         }
     }
 
@@ -260,7 +260,7 @@
                     upstream: name.clone(),
                     requests: Default::default(),
                 });
-                report.requests.push(Blamed {
+                report.requests.push(InFlight {
                     request: run.request.name,
                     reached: run.reached(self.now),
                 });
@@ -274,7 +274,7 @@
                 if self.play.way != Way::Nothing {
                     self.hosts[host].table.blame(&report, at);
                 }
-                self.tell(host, News::Ended(report));
+                self.tell(host, Update::Ended(report));
             }
         }
     }
@@ -289,7 +289,7 @@
             self.upstreams[index].runs = left;
             for run in done {
                 if self.hosts[run.host].table.clear(run.request.name).is_some() {
-                    self.tell(run.host, News::Survived(run.request.name));
+                    self.tell(run.host, Update::Survived(run.request.name));
                 }
             }
         }
@@ -311,7 +311,7 @@
     }
 
     /// News reach the others by the way that is played.
-    fn tell(&mut self, from: usize, news: News) {
+    fn tell(&mut self, from: usize, news: Update) {
         if self.play.way == Way::Stored && !self.is_cut(from) {
             self.reports.push(news.clone());
         }
@@ -351,7 +351,7 @@
                     Write::Lift(request) => self.stored.remove(&request),
                 };
                 let read_at = self.now + self.random.random_range(10..READ);
-                let held: Vec<Held> = self.stored.values().copied().collect();
+                let held: Vec<Quarantined> = self.stored.values().copied().collect();
                 for host in &mut self.hosts {
                     host.reads.push((read_at, held.clone()));
                 }
--- a/crates/tinbank-quarantine/tests/table.rs
+++ b/crates/tinbank-quarantine/tests/table.rs
@@ -9,7 +9,7 @@
 use smallvec::smallvec;
 use tinbank_base::id;
 use tinbank_quarantine::{
-    Blamed, Fingerprint, Held, Position, Report, Table,
+    InFlight, Fingerprint, Quarantined, Position, Report, Table,
     table::{CAPACITY, Change, PROOF, Write},
 };
 use tinbank_test_support::property;
@@ -26,7 +26,7 @@
 fn report_at(upstream: usize, request: Fingerprint, reached: Position) -> Report {
     Report {
         upstream: id::Instance::from(format!("u{upstream}")),
-        requests: smallvec![Blamed { request, reached }],
+        requests: smallvec![InFlight { request, reached }],
     }
 }
 
@@ -39,8 +39,8 @@
     table
 }
 
-fn held(ended: u32) -> Held {
-    Held {
+fn held(ended: u32) -> Quarantined {
+    Quarantined {
         request: REQUEST,
         ended,
         reached: 0,
