--- a/crates/tinbank-gateway/src/view.rs
+++ b/crates/tinbank-gateway/src/view.rs
@@ -211,7 +211,7 @@
 
     /// An upstream said itself that it is leaving or gone.
     pub fn leave(&self, instance: &id::Instance) {
-        self.upstreams.borrow_mut().leave(instance);
+        self.upstreams.borrow_mut().mark_leaving(instance);
     }
 
     /// Takes in whether the store answered a read of a list.
@@ -221,8 +221,8 @@
         }
         let mut listing = self.upstreams.borrow_mut();
         match read {
-            Ok(_) => listing.answered(Instant::now()),
-            Err(Error::NoEffect(_) | Error::Busy(_) | Error::Unknown(_)) => listing.failed(),
+            Ok(_) => listing.record_store_answer(Instant::now()),
+            Err(Error::NoEffect(_) | Error::Busy(_) | Error::Unknown(_)) => listing.record_store_failure(),
             Err(Error::Trimmed { .. } | Error::Protocol(_)) => {}
         }
     }
@@ -234,7 +234,7 @@
             List::Quarantine | List::Leads => return LONG_WAIT,
             List::Upstreams => {}
         }
-        let settles_at = self.upstreams.borrow().settles_at();
+        let settles_at = self.upstreams.borrow().missing_expire_at();
         let left = settles_at.map(|at| at.saturating_duration_since(now));
         left.map_or(WAIT, |left| left.min(WAIT))
     }
--- a/crates/tinbank-gateway/src/view/entries.rs
+++ b/crates/tinbank-gateway/src/view/entries.rs
@@ -128,7 +128,7 @@
             });
             let changes = listing.replace(listed.collect(), now);
             if is_narrow {
-                listing.narrow(own);
+                listing.retain_failure_domain(own);
             }
             changes
         }
@@ -140,7 +140,7 @@
             })
             .collect(),
     };
-    let settled = listing.settle(now);
+    let settled = listing.expire_missing(now);
     drop(listing);
     if whole {
         view.lists.changed_upstreams.borrow_mut().restart(end);
--- a/crates/tinbank-gateway/src/view/told.rs
+++ b/crates/tinbank-gateway/src/view/told.rs
@@ -70,13 +70,13 @@
     let changes = match part.is_whole {
         true => {
             if is_narrow {
-                listing.narrow(&node.settings.failure_domain);
+                listing.retain_failure_domain(&node.settings.failure_domain);
             }
             view.is_narrow.set(is_narrow);
             view.lists.changed_upstreams.borrow_mut().restart(position);
-            listing.mirror(part.entries)
+            listing.apply_snapshot(part.entries)
         }
-        false => listing.mirror_changes(part.entries, part.gone),
+        false => listing.apply_update(part.entries, part.gone),
     };
     drop(listing);
     // What the delegate believes without a record counts as changed behind the position.
--- a/crates/tinbank-relay/src/listing.rs
+++ b/crates/tinbank-relay/src/listing.rs
@@ -72,7 +72,7 @@
 }
 
 impl Contact {
-    fn answered(&mut self, now: Instant) {
+    fn record_store_answer(&mut self, now: Instant) {
         let pause_ends = self.answered_at.map(|at| at + LONGEST_PAUSE);
         let was_away = self.has_failed || pause_ends.is_some_and(|end| now > end);
         if was_away {
@@ -99,12 +99,12 @@
 
 impl Listing {
     /// The store has answered a read of the list. Called before what was read is taken in.
-    pub fn answered(&mut self, now: Instant) {
-        self.contact.answered(now);
+    pub fn record_store_answer(&mut self, now: Instant) {
+        self.contact.record_store_answer(now);
     }
 
     /// A read of the list had no answer.
-    pub fn failed(&mut self) {
+    pub fn record_store_failure(&mut self) {
         self.contact.has_failed = true;
     }
 
@@ -147,16 +147,16 @@
 
     /// Another host has told which upstreams there are, by its own reads of the list. What it does not name is gone: it has
     /// waited for entries that lapsed.
-    pub fn mirror(&mut self, upstreams: Vec<Upstream>) -> Changes {
+    pub fn apply_snapshot(&mut self, upstreams: Vec<Upstream>) -> Changes {
         let named: HashSet<id::Instance> = upstreams.iter().map(|it| it.instance.clone()).collect();
         let known = self.known.keys();
         let unnamed: Vec<_> = known.filter(|it| !named.contains(*it)).cloned().collect();
-        self.mirror_changes(upstreams, unnamed)
+        self.apply_update(upstreams, unnamed)
     }
 
     /// Another host has told which upstreams changed and which are gone. An upstream that was heard to leave here does not
     /// come back by what the other knows.
-    pub fn mirror_changes(&mut self, upstreams: Vec<Upstream>, gone: Vec<id::Instance>) -> Changes {
+    pub fn apply_update(&mut self, upstreams: Vec<Upstream>, gone: Vec<id::Instance>) -> Changes {
         let mut changes = Changes::new();
         for instance in gone {
             let before = self.known.insert(instance.clone(), State::Gone);
@@ -174,7 +174,7 @@
     }
 
     /// Forgets the upstreams of other failure domains, of which nothing is heard from now on.
-    pub fn narrow(&mut self, failure_domain: &str) {
+    pub fn retain_failure_domain(&mut self, failure_domain: &str) {
         self.known.retain(|_, state| match state {
             State::Listed(upstream) | State::Missing(upstream) => {
                 upstream.failure_domain == failure_domain
@@ -205,7 +205,7 @@
     }
 
     /// Gives up what is missing once the store has answered for long enough.
-    pub fn settle(&mut self, now: Instant) -> Changes {
+    pub fn expire_missing(&mut self, now: Instant) -> Changes {
         if !self.contact.is_settled(now) {
             return Changes::new();
         }
@@ -220,14 +220,14 @@
     }
 
     /// When what is missing is to be given up, if the store answers until then.
-    pub fn settles_at(&self) -> Option<Instant> {
+    pub fn missing_expire_at(&self) -> Option<Instant> {
         let mut states = self.known.values();
         let is_missing = states.any(|state| matches!(state, State::Missing(_)));
         self.contact.settled_from.filter(|_| is_missing)
     }
 
     /// An upstream said itself that it is leaving or gone.
-    pub fn leave(&mut self, instance: &id::Instance) {
+    pub fn mark_leaving(&mut self, instance: &id::Instance) {
         if let Some(State::Listed(upstream) | State::Missing(upstream)) =
             self.known.get_mut(instance)
         {
--- a/crates/tinbank-relay/tests/listing.rs
+++ b/crates/tinbank-relay/tests/listing.rs
@@ -33,7 +33,7 @@
 /// A listing that has read some upstreams from a store that answers.
 fn listing(upstreams: u8, now: Instant) -> Listing {
     let mut listing = Listing::default();
-    listing.answered(now);
+    listing.record_store_answer(now);
     listing.replace((0..upstreams).map(upstream).collect(), now);
     listing
 }
@@ -72,17 +72,17 @@
         match *step {
             Answer(after) => {
                 now += after;
-                listing.answered(now);
+                listing.record_store_answer(now);
             }
             Fail(after) => {
                 now += after;
-                listing.failed();
+                listing.record_store_failure();
             }
             Remove(index) => drop(listing.remove(&upstream(index).instance, now)),
             Add(index) => drop(listing.add(upstream(index))),
             Empty => drop(listing.replace(Vec::new(), now)),
         }
-        listing.settle(now);
+        listing.expire_missing(now);
     }
     (listing, now)
 }
@@ -112,7 +112,7 @@
 fn a_missing_upstream_that_said_that_it_leaves_takes_no_requests() {
     let (mut listing, _) = play(&[Fail(SECOND), Answer(SECOND), Remove(0)]);
 
-    listing.leave(&upstream(0).instance);
+    listing.mark_leaving(&upstream(0).instance);
 
     assert_eq!(serving(&listing), ["u1"]);
     assert!(listing.is_leaving(&upstream(0).instance));
@@ -125,10 +125,10 @@
 
     let first = listing.remove(&gone, now);
     let second = listing.remove(&gone, now);
-    let settles_at = listing.settles_at().unwrap();
-    let early = listing.settle(now + READ);
-    let settled = listing.settle(settles_at);
-    let again = listing.settle(settles_at + READ);
+    let missing_expire_at = listing.missing_expire_at().unwrap();
+    let early = listing.expire_missing(now + READ);
+    let settled = listing.expire_missing(missing_expire_at);
+    let again = listing.expire_missing(missing_expire_at + READ);
 
     assert_eq!(first, Some(Change::Missing(gone.clone())));
     assert_eq!(second, None);
@@ -158,11 +158,11 @@
                     if std::mem::take(&mut is_away) {
                         returned_at = Some(now);
                     }
-                    listing.answered(now);
+                    listing.record_store_answer(now);
                 }
                 3 => {
                     is_away = true;
-                    listing.failed();
+                    listing.record_store_failure();
                 }
                 4 if !is_away => {
                     let was_listed = listed.insert(index, false) == Some(true);
@@ -181,12 +181,12 @@
             }
             // Reads are answered all the time while the store is there.
             if !is_away {
-                listing.answered(now);
+                listing.record_store_answer(now);
             }
             if !is_away && returned_at.is_none_or(|at| now >= at + RENEWAL_TIME) {
                 missing.clear();
             }
-            listing.settle(now);
+            listing.expire_missing(now);
             let expected: Vec<_> = (0..2u8)
                 .filter(|index| listed[index] || missing.contains_key(index))
                 .map(|index| format!("u{index}"))
@@ -201,7 +201,7 @@
     let now = Instant::now();
     let mut listing = listing(3, now);
 
-    let changes = listing.mirror(vec![upstream(1), upstream(2), upstream(5)]);
+    let changes = listing.apply_snapshot(vec![upstream(1), upstream(2), upstream(5)]);
 
     let gone = Change::Gone("u0".into());
     assert_eq!(changes.as_slice(), [gone, Change::Listed(upstream(5))]);
@@ -213,9 +213,9 @@
 fn an_upstream_that_was_heard_to_leave_does_not_come_back_by_hearsay() {
     let now = Instant::now();
     let mut listing = listing(2, now);
-    listing.leave(&"u1".into());
+    listing.mark_leaving(&"u1".into());
 
-    listing.mirror(vec![upstream(0), upstream(1)]);
+    listing.apply_snapshot(vec![upstream(0), upstream(1)]);
 
     assert_eq!(serving(&listing), ["u0"]);
     assert!(listing.is_leaving(&"u1".into()));
@@ -225,10 +225,10 @@
 fn upstreams_that_leave_are_told_as_well() {
     let now = Instant::now();
     let mut teller = listing(2, now);
-    teller.leave(&"u1".into());
+    teller.mark_leaving(&"u1".into());
     let mut told = Listing::default();
 
-    told.mirror(teller.present().cloned().collect());
+    told.apply_snapshot(teller.present().cloned().collect());
 
     assert_eq!(serving(&told), ["u0"]);
     assert!(told.is_leaving(&"u1".into()));
@@ -246,7 +246,7 @@
 fn an_upstream_that_starts_again_under_its_name_is_another_one() {
     let now = Instant::now();
     let mut listing = listing(2, now);
-    listing.leave(&"u0".into());
+    listing.mark_leaving(&"u0".into());
 
     let changes = listing.add(reborn(0));
 
@@ -273,10 +273,10 @@
 fn a_whole_list_and_what_another_host_tells_replace_a_start_by_a_later_one() {
     let now = Instant::now();
     let (mut read, mut told) = (listing(2, now), listing(2, now));
-    told.leave(&"u0".into());
+    told.mark_leaving(&"u0".into());
 
     read.replace(vec![reborn(0), upstream(1)], now);
-    told.mirror(vec![reborn(0), upstream(1)]);
+    told.apply_snapshot(vec![reborn(0), upstream(1)]);
 
     assert_eq!(serving(&read), ["u0@2", "u1"]);
     assert_eq!(serving(&told), ["u0@2", "u1"]);
@@ -285,10 +285,10 @@
 #[test]
 fn a_follower_takes_in_what_changed_and_keeps_the_rest() {
     let mut listing = Listing::default();
-    listing.mirror(vec![upstream(0), upstream(1), upstream(2)]);
-    listing.leave(&"u1".into());
+    listing.apply_snapshot(vec![upstream(0), upstream(1), upstream(2)]);
+    listing.mark_leaving(&"u1".into());
 
-    let changes = listing.mirror_changes(vec![upstream(1), upstream(3)], vec!["u0".into()]);
+    let changes = listing.apply_update(vec![upstream(1), upstream(3)], vec!["u0".into()]);
 
     // What was heard to leave here does not come back by what another host knows.
     assert_eq!(serving(&listing), ["u2", "u3"]);
@@ -303,9 +303,9 @@
         failure_domain: "south".to_owned(),
         ..upstream(1)
     };
-    listing.mirror(vec![upstream(0), far]);
+    listing.apply_snapshot(vec![upstream(0), far]);
 
-    listing.narrow("north");
+    listing.retain_failure_domain("north");
 
     assert_eq!(serving(&listing), ["u0"]);
     assert!(!listing.is_leaving(&"u1".into()));
