--- a/crates/tinbank-gateway/src/node.rs
+++ b/crates/tinbank-gateway/src/node.rs
@@ -8,7 +8,7 @@
 };
 
 use tinbank_allocator::{admission::Usual, pace::Pace};
-use tinbank_relay::{patience::Patience, route::Route};
+use tinbank_relay::{caller_timeout::CallerTimeout, route::Route};
 
 use crate::{
     batch::Batch,
@@ -47,7 +47,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Learned {
     /// How long callers wait.
-    patience: Patience,
+    caller_timeout: CallerTimeout,
     first_event: Pace,
     held: Pace,
 }
@@ -114,7 +114,7 @@
 
     /// True if a request with so much time left is likely its caller's first try.
     pub fn is_first_try(&self, route: &Route, time_left: Duration) -> bool {
-        self.learn(route, |it| it.patience.is_first(time_left, route.timeout))
+        self.learn(route, |it| it.caller_timeout.is_first_try(time_left, route.timeout))
     }
 
     /// What is usual on a route.
--- a/crates/tinbank-relay/src/patience.rs
+++ b/crates/tinbank-relay/src/caller_timeout.rs
@@ -10,14 +10,14 @@
 
 /// The time that callers of a route have at first.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Patience {
+pub struct CallerTimeout {
     longest: Duration,
     seen: u32,
 }
 
-impl Patience {
+impl CallerTimeout {
     /// Takes in a request with its time left, on a route with a time limit. True if it is likely the caller's first try.
-    pub fn is_first(&mut self, time_left: Duration, limit: Duration) -> bool {
+    pub fn is_first_try(&mut self, time_left: Duration, limit: Duration) -> bool {
         self.longest = self.longest.max(time_left);
         self.seen = self.seen.saturating_add(1);
         let usual = match self.seen < LEARNED {
--- a/crates/tinbank-relay/src/lib.rs
+++ b/crates/tinbank-relay/src/lib.rs
@@ -6,7 +6,7 @@
 pub mod evacuation;
 pub mod event;
 pub mod listing;
-pub mod patience;
+pub mod caller_timeout;
 mod remaining;
 pub mod route;
 pub mod silence;
