--- a/crates/tinbank-gateway/src/batch/follower.rs
+++ b/crates/tinbank-gateway/src/batch/follower.rs
@@ -170,7 +170,7 @@
     }
     batch.next.set(offset);
     if offset >= page.end {
-        node.sharing.store_read(Instant::now());
+        node.sharing.record_store_read(Instant::now());
         if !batch.known.replace(true) {
             log::info!(offset, jobs = batch.table.borrow().len(); "log of jobs read to its end");
         }
--- a/crates/tinbank-gateway/src/batch/item.rs
+++ b/crates/tinbank-gateway/src/batch/item.rs
@@ -145,11 +145,11 @@
     match opened.verdict {
         Verdict::Answer => {}
         Verdict::Impossible => {
-            opened.lease.end(Outcome::Served);
+            opened.lease.set_outcome(Outcome::Served);
             return Ended::Impossible;
         }
         _ => {
-            opened.lease.end(Outcome::Failed);
+            opened.lease.set_outcome(Outcome::Failed);
             return Ended::Failed;
         }
     }
@@ -163,7 +163,7 @@
         read = read(body, progress) => read,
         () = lease.reclaimed() => (Ended::Reclaimed, Outcome::Unused),
     };
-    lease.end(outcome);
+    lease.set_outcome(outcome);
     ended
 }
 
--- a/crates/tinbank-gateway/src/batch/mod.rs
+++ b/crates/tinbank-gateway/src/batch/mod.rs
@@ -120,7 +120,7 @@
             () = work(&node) => {}
         }
         log::info!("jobs left to other hosts");
-        node.sharing.store_left();
+        node.sharing.clear_store_read();
         node.batch.forget();
     }
 }
--- a/crates/tinbank-gateway/src/batch/runner.rs
+++ b/crates/tinbank-gateway/src/batch/runner.rs
@@ -24,7 +24,7 @@
     border::engine::{self, Request, Sender},
     identity, measure,
     node::Node,
-    sharing::{Asked, Lease, Wanted},
+    sharing::{Allocation, Lease, SlotRequest},
 };
 
 /// Pause when there is nothing to run, or no slot for it. Source: the time in which a slot is likely to come free.
@@ -185,7 +185,7 @@
             time::sleep(PAUSE).await;
             continue;
         };
-        let wanted = Wanted {
+        let wanted = SlotRequest {
             class: Class::Batch(next::lease_due(candidate.due)),
             service: &candidate.service,
             exclude: &candidate.avoid,
@@ -193,7 +193,7 @@
             rank: 0,
             meter: None,
         };
-        let Asked::Granted(lease) = node.sharing.lease(&node, &wanted).await else {
+        let Allocation::Granted(lease) = node.sharing.lease(&node, &wanted).await else {
             time::sleep(PAUSE).await;
             continue;
         };
--- a/crates/tinbank-gateway/src/feed.rs
+++ b/crates/tinbank-gateway/src/feed.rs
@@ -127,9 +127,9 @@
         if self.has_hosts.replace(true) {
             return self.look(sharing, now);
         }
-        let in_place = sharing.is_in_place(now);
+        let in_place = sharing.is_delegate(now);
         self.is_first.set(sharing.is_allocator(now));
-        self.is_small.set(sharing.hosts() <= SMALL);
+        self.is_small.set(sharing.host_count() <= SMALL);
         self.delegation.borrow_mut().begin(in_place);
         log::info!(delegate = in_place; "list of hosts read for the first time");
         self.changed.notify_waiters();
@@ -137,13 +137,13 @@
 
     /// Takes in which hosts are silent now.
     pub fn look(&self, sharing: &Sharing, now: Instant) {
-        let in_place = sharing.is_in_place(now);
+        let in_place = sharing.is_delegate(now);
         if self.delegation.borrow_mut().place(in_place, now) {
             log::info!(delegate = in_place; "duty of this host changes");
             self.changed.notify_waiters();
         }
         let is_first = sharing.is_allocator(now);
-        let is_small = sharing.hosts() <= SMALL;
+        let is_small = sharing.host_count() <= SMALL;
         let was_first = self.is_first.replace(is_first);
         let was_small = self.is_small.replace(is_small);
         if self.is_delegate() && (was_first, was_small) != (is_first, is_small) {
--- a/crates/tinbank-gateway/src/feed/follower.rs
+++ b/crates/tinbank-gateway/src/feed/follower.rs
@@ -53,7 +53,7 @@
     // Delegates are few, however many hosts there are.
     let hosts = || match node.feed.is_delegate() {
         true => 1,
-        false => node.sharing.hosts(),
+        false => node.sharing.host_count(),
     };
     let mut sources = Sources::new(hosts(), Instant::now(), &mut rand::rng());
     // While the store is away for all, no delegate has anything to tell, and each has many followers.
@@ -66,7 +66,7 @@
             time::sleep(LOOK).await;
             continue;
         }
-        let candidates = node.sharing.delegates(now);
+        let candidates = node.sharing.delegate_candidates(now);
         let told = match sources.choose(&candidates, now) {
             Some(delegate) => ask(&node, delegate).await,
             None => false,
--- a/crates/tinbank-gateway/src/node.rs
+++ b/crates/tinbank-gateway/src/node.rs
@@ -93,7 +93,7 @@
         log::warn!(pause_ms = pause.as_millis() as u64; "process was paused, reading everything again");
         self.view.distrust();
         self.batch.distrust();
-        self.sharing.forget(now.steady);
+        self.sharing.reset_after_pause(now.steady);
         pauses
     }
 
@@ -102,7 +102,7 @@
         let dealt = self
             .view
             .dealt(&self.settings.failure_domain, Instant::now());
-        self.sharing.list(dealt);
+        self.sharing.set_upstreams(dealt);
     }
 
     /// The next number of a sequence that draws services by their weights evenly.
--- a/crates/tinbank-gateway/src/quarantine/tell.rs
+++ b/crates/tinbank-gateway/src/quarantine/tell.rs
@@ -24,10 +24,10 @@
 }
 
 async fn tell_twice(node: Rc<Node>, news: News) {
-    node.sharing.tell_all(&Frame::Quarantine(news.clone()));
+    node.sharing.broadcast(&Frame::Quarantine(news.clone()));
     time::sleep(AGAIN).await;
     if let Some(news) = still_true(&node, news) {
-        node.sharing.tell_all(&Frame::Quarantine(news));
+        node.sharing.broadcast(&Frame::Quarantine(news));
     }
 }
 
--- a/crates/tinbank-gateway/src/relay/attempt.rs
+++ b/crates/tinbank-gateway/src/relay/attempt.rs
@@ -136,7 +136,7 @@
     let status = head.status.as_u16();
     log::info!(request:% = request.id, upstream:% = lease.upstream, status, why; "attempt refused");
     measure::attempt_failed(why);
-    lease.end(match trouble {
+    lease.set_outcome(match trouble {
         Trouble::NotRun | Trouble::HeldBack => Outcome::Refused,
         Trouble::Lost | Trouble::Silent => Outcome::Failed,
     });
@@ -155,6 +155,6 @@
         Error::Lost(_) => (Trouble::Lost, Outcome::Failed),
         Error::Silent => (Trouble::Silent, Outcome::Silent),
     };
-    lease.end(outcome);
+    lease.set_outcome(outcome);
     trouble
 }
--- a/crates/tinbank-gateway/src/relay/body.rs
+++ b/crates/tinbank-gateway/src/relay/body.rs
@@ -80,7 +80,7 @@
 impl Timed {
     fn ended(&self) {
         self.body.whole();
-        self.lease.end(self.whole);
+        self.lease.set_outcome(self.whole);
     }
 }
 
@@ -95,7 +95,7 @@
         let polled = Pin::new(&mut self.body).poll_frame(context);
         match &polled {
             Poll::Ready(None) => self.ended(),
-            Poll::Ready(Some(Err(_))) => self.lease.end(Outcome::Failed),
+            Poll::Ready(Some(Err(_))) => self.lease.set_outcome(Outcome::Failed),
             // Who reads a body of known length does not ask for its end.
             Poll::Ready(Some(Ok(_))) if self.body.is_end_stream() => self.ended(),
             Poll::Ready(Some(Ok(_))) => {}
--- a/crates/tinbank-gateway/src/relay/online.rs
+++ b/crates/tinbank-gateway/src/relay/online.rs
@@ -34,7 +34,7 @@
     clock::Moment,
     measure,
     node::Node,
-    sharing::{Asked, Lease, Wanted},
+    sharing::{Allocation, Lease, SlotRequest},
 };
 
 /// Attempts that did not run, after which a request is refused.
@@ -140,7 +140,7 @@
             };
             match opened.verdict {
                 Verdict::Failed | Verdict::Impossible if self.is_worth_another(&opened) => {
-                    opened.lease.end(Outcome::Failed);
+                    opened.lease.set_outcome(Outcome::Failed);
                 }
                 _ => return self.answer(opened, resume_after),
             }
@@ -219,7 +219,7 @@
     /// A slot at an upstream of a service, or what to tell the caller.
     async fn lease(&mut self, service: &str) -> Result<Lease, Next> {
         let queue = self.queue();
-        let wanted = Wanted {
+        let wanted = SlotRequest {
             class: Class::Online,
             service,
             exclude: self.attempts.tried(),
@@ -228,20 +228,20 @@
             meter: self.meter.as_ref(),
         };
         match self.node.sharing.lease(&self.node, &wanted).await {
-            Asked::Granted(lease) => {
+            Allocation::Granted(lease) => {
                 // Further attempts are of the same request.
                 self.meter = None;
                 Ok(lease)
             }
-            Asked::OverLimit(returns_in) => {
+            Allocation::OverLimit(returns_in) => {
                 self.over_limit = Some(returns_in);
                 Err(self.attempts.give_up())
             }
-            Asked::Full => {
+            Allocation::Full => {
                 self.overloaded = true;
                 Err(self.attempts.give_up())
             }
-            Asked::Nobody => Err(self.attempts.give_up()),
+            Allocation::NoUpstream => Err(self.attempts.give_up()),
         }
     }
 
--- a/crates/tinbank-gateway/src/relay/stream.rs
+++ b/crates/tinbank-gateway/src/relay/stream.rs
@@ -180,7 +180,7 @@
                 Ok(None) | Err(_) => return Err(self.abort(why)),
             };
             if opened.verdict != Verdict::Answer {
-                opened.lease.end(Outcome::Failed);
+                opened.lease.set_outcome(Outcome::Failed);
                 return Err(self.abort("the next upstream failed"));
             }
             log::info!(request:% = self.relay.request.id, upstream:% = opened.lease.upstream, after = self.last.unwrap_or(0); "stream resumed");
@@ -196,7 +196,7 @@
 
     fn end(&mut self, outcome: Outcome) {
         if let Some(source) = self.source.take() {
-            source.lease.end(outcome);
+            source.lease.set_outcome(outcome);
         }
     }
 
--- a/crates/tinbank-gateway/src/run.rs
+++ b/crates/tinbank-gateway/src/run.rs
@@ -148,10 +148,10 @@
     let news = move |from, news| quarantine::told(&told, from, news);
     task::spawn_local(sharing::receive(Rc::clone(&node.sharing), news));
     task::spawn_local(sharing::heartbeat(Rc::clone(node)));
-    task::spawn_local(sharing::tell_counts(Rc::clone(&node.sharing)));
+    task::spawn_local(sharing::broadcast_counts(Rc::clone(&node.sharing)));
     task::spawn_local(feed::follow(Rc::clone(node)));
     task::spawn_local(feed::name_lead(Rc::clone(node)));
-    task::spawn_local(sharing::survey(Rc::clone(node)));
+    task::spawn_local(sharing::poll_upstream_load(Rc::clone(node)));
     for list in [List::Config, List::Upstreams, List::Hosts, List::Quarantine] {
         task::spawn_local(view::follow(Rc::clone(node), list));
     }
--- a/crates/tinbank-gateway/src/sharing.rs
+++ b/crates/tinbank-gateway/src/sharing.rs
@@ -6,7 +6,7 @@
 mod held;
 mod peers;
 mod pending;
-mod survey;
+mod load_poll;
 
 use std::{
     cell::{Cell, RefCell},
@@ -35,10 +35,10 @@
 };
 
 pub(crate) use self::{
-    counts::tell_counts,
+    counts::broadcast_counts,
     held::Lease,
     peers::{heartbeat, receive},
-    survey::survey,
+    load_poll::poll_upstream_load,
 };
 
 /// A host reaches the store if it has read it at most this long ago. Source: the longest time between two reads that are
@@ -72,7 +72,7 @@
 
 /// What a slot is asked for.
 #[derive(Clone, Debug)]
-pub(crate) struct Wanted<'a> {
+pub(crate) struct SlotRequest<'a> {
     pub class: Class,
     pub service: &'a str,
     /// Upstreams that the request must not get.
@@ -86,7 +86,7 @@
 }
 
 /// What came of asking for a slot.
-pub(crate) enum Asked {
+pub(crate) enum Allocation {
     /// There is one.
     Granted(Lease),
     /// All slots are in use, and the request may not wait.
@@ -94,7 +94,7 @@
     /// Its customer has used up its allowance, and may come again after this time.
     OverLimit(Duration),
     /// No upstream of the service is known.
-    Nobody,
+    NoUpstream,
 }
 
 impl Sharing {
@@ -130,7 +130,7 @@
     }
 
     /// Takes in the upstreams of the own failure domain.
-    pub fn list(&self, upstreams: Vec<Upstream>) {
+    pub fn set_upstreams(&self, upstreams: Vec<Upstream>) {
         let out = self.state.borrow_mut().allocator.list(upstreams);
         self.send_all(out);
     }
@@ -141,7 +141,7 @@
     }
 
     /// Takes in the list of hosts.
-    pub fn peers(&self, mut peers: Vec<Peer>) {
+    pub fn set_hosts(&self, mut peers: Vec<Peer>) {
         peers.retain(|peer| peer.address != self.own.address);
         peers.push(self.own.clone());
         let now = Instant::now();
@@ -160,12 +160,12 @@
     }
 
     /// Number of hosts that are listed.
-    pub fn hosts(&self) -> usize {
+    pub fn host_count(&self) -> usize {
         self.state.borrow().directory.hosts()
     }
 
     /// Forgets what the allocator believes, after a pause of the process.
-    pub fn forget(&self, now: Instant) {
+    pub fn reset_after_pause(&self, now: Instant) {
         let mut state = self.state.borrow_mut();
         state.allocator.forget(now);
         state.unheard.clear();
@@ -179,12 +179,12 @@
     }
 
     /// This host has read the store to its end.
-    pub fn store_read(&self, now: Instant) {
+    pub fn record_store_read(&self, now: Instant) {
         self.store_read_at.set(Some(now));
     }
 
     /// This host follows the log of jobs no more; others pass no calls about jobs on to it.
-    pub fn store_left(&self) {
+    pub fn clear_store_read(&self) {
         self.store_read_at.set(None);
     }
 
@@ -200,7 +200,7 @@
     }
 
     /// True if this host is among the delegates of its failure domain, by the list of hosts and who is silent.
-    pub fn is_in_place(&self, now: Instant) -> bool {
+    pub fn is_delegate(&self, now: Instant) -> bool {
         let state = self.state.borrow();
         let delegates = state.directory.delegates(&self.own.failure_domain, now);
         delegates.iter().any(|it| it.address == self.own.address)
@@ -213,7 +213,7 @@
     }
 
     /// Sends a frame to all other hosts.
-    pub fn tell_all(&self, frame: &Frame) {
+    pub fn broadcast(&self, frame: &Frame) {
         let hosts = self.state.borrow().directory.addresses();
         for host in hosts.into_iter().filter(|it| *it != self.own.address) {
             self.send(host, frame);
@@ -221,7 +221,7 @@
     }
 
     /// The delegates that this host may follow.
-    pub fn delegates(&self, now: Instant) -> Candidates {
+    pub fn delegate_candidates(&self, now: Instant) -> Candidates {
         source::candidates(&self.state.borrow().directory, &self.own, now)
     }
 
--- a/crates/tinbank-gateway/src/sharing/ask.rs
+++ b/crates/tinbank-gateway/src/sharing/ask.rs
@@ -16,7 +16,7 @@
 };
 use tinbank_base::id;
 
-use super::{Asked, Lease, Sharing, Wanted, pending::Pending};
+use super::{Allocation, Lease, Sharing, SlotRequest, pending::Pending};
 use crate::{measure, node::Node};
 
 /// Grants of leaving upstreams after which a failure domain counts as having none.
@@ -41,7 +41,7 @@
     /// Asks the own failure domain, then the others, for a slot that is free. If there is none, an online request waits at
     /// the first allocator that expects to have one in time, or inside an upstream if it may. Where no allocator answers, it
     /// gets an upstream of this host's own choice.
-    pub async fn lease(self: &Rc<Self>, node: &Node, wanted: &Wanted<'_>) -> Asked {
+    pub async fn lease(self: &Rc<Self>, node: &Node, wanted: &SlotRequest<'_>) -> Allocation {
         let turn = self.next.get();
         let own = &self.own.failure_domain;
         let mut domains = self.state.borrow().directory.failure_domains(own, turn);
@@ -54,30 +54,30 @@
         for queue in queues {
             for domain in &domains {
                 match self.ask(node, wanted, domain, *queue).await {
-                    Answered::Granted(lease) => return Asked::Granted(lease),
+                    Answered::Granted(lease) => return Allocation::Granted(lease),
                     Answered::Denied => denied = true,
-                    Answered::OverLimit(returns_in) => return Asked::OverLimit(returns_in),
-                    Answered::TimeUp => return Asked::Full,
+                    Answered::OverLimit(returns_in) => return Allocation::OverLimit(returns_in),
+                    Answered::TimeUp => return Allocation::Full,
                     Answered::Silent => {}
                 }
             }
         }
         if wanted.class.is_batch() {
-            return Asked::Full;
+            return Allocation::Full;
         }
         // Those of other failure domains are known to their allocators only.
         let is_known = node.view.is_narrow() || node.view.has_upstream_beside(wanted.service, &[]);
         if denied && is_known && wanted.queue != Queue::Any {
-            return Asked::Full;
+            return Allocation::Full;
         }
         if let Some(meter) = wanted.meter
             && !self.take_own_part(meter)
         {
-            return Asked::OverLimit(OWN_PART_RETRY);
+            return Allocation::OverLimit(OWN_PART_RETRY);
         }
         match self.choose(node, wanted) {
-            Some(lease) => Asked::Granted(lease),
-            None => Asked::Nobody,
+            Some(lease) => Allocation::Granted(lease),
+            None => Allocation::NoUpstream,
         }
     }
 
@@ -96,7 +96,7 @@
     async fn ask(
         self: &Rc<Self>,
         node: &Node,
-        wanted: &Wanted<'_>,
+        wanted: &SlotRequest<'_>,
         domain: &str,
         queue: Queue,
     ) -> Answered {
@@ -114,7 +114,7 @@
                 return Answered::Granted(lease);
             }
             log::info!(upstream:% = lease.upstream; "grant of a leaving upstream given back");
-            lease.end(Outcome::Leaving);
+            lease.set_outcome(Outcome::Leaving);
         }
         Answered::Denied
     }
@@ -122,7 +122,7 @@
     /// Asks the allocator of a failure domain once, and waits there if it says that a slot is likely to come free in time.
     async fn ask_once(
         self: &Rc<Self>,
-        wanted: &Wanted<'_>,
+        wanted: &SlotRequest<'_>,
         domain: &str,
         queue: Queue,
     ) -> Answered {
@@ -174,7 +174,7 @@
     }
 
     /// The upstream at which this host has the fewest requests, where no allocator answers.
-    fn choose(self: &Rc<Self>, node: &Node, wanted: &Wanted<'_>) -> Option<Lease> {
+    fn choose(self: &Rc<Self>, node: &Node, wanted: &SlotRequest<'_>) -> Option<Lease> {
         let now = Instant::now();
         let avoided = self.avoided(now);
         let mut fit = node.view.upstreams(wanted.service);
@@ -204,7 +204,7 @@
     }
 }
 
-fn log_over_limit(wanted: &Wanted<'_>, allocator: SocketAddr, over: OverLimit) {
+fn log_over_limit(wanted: &SlotRequest<'_>, allocator: SocketAddr, over: OverLimit) {
     let Some(meter) = wanted.meter else {
         return;
     };
--- a/crates/tinbank-gateway/src/sharing/ask/tests.rs
+++ b/crates/tinbank-gateway/src/sharing/ask/tests.rs
@@ -11,7 +11,7 @@
 use tokio::{net::UdpSocket, task, time};
 
 use super::Answered;
-use crate::sharing::{Sharing, Wanted, receive};
+use crate::sharing::{Sharing, SlotRequest, receive};
 
 /// Long enough for a datagram to a host on the same machine.
 const SHORT: Duration = Duration::from_millis(60);
@@ -30,7 +30,7 @@
         let allocator = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         let own = peer(own_address, "south");
         let sharing = Rc::new(Sharing::bind(own, 1, Tolerance::default()).await.unwrap());
-        sharing.peers(vec![peer(allocator.local_addr().unwrap(), "north")]);
+        sharing.set_hosts(vec![peer(allocator.local_addr().unwrap(), "north")]);
         task::spawn_local(receive(Rc::clone(&sharing), |_, _| {}));
         Self { sharing, allocator }
     }
@@ -104,7 +104,7 @@
 fn asks(setting: &Setting, queue: Queue) -> task::JoinHandle<Answered> {
     let sharing = Rc::clone(&setting.sharing);
     task::spawn_local(async move {
-        let wanted = Wanted {
+        let wanted = SlotRequest {
             class: Class::Online,
             service: "notes",
             exclude: &[],
--- a/crates/tinbank-gateway/src/sharing/counts.rs
+++ b/crates/tinbank-gateway/src/sharing/counts.rs
@@ -17,7 +17,7 @@
 const TELLER_AGE: Duration = Duration::from_secs(1);
 
 /// Tells for as long as the process runs.
-pub(crate) async fn tell_counts(sharing: Rc<Sharing>) {
+pub(crate) async fn broadcast_counts(sharing: Rc<Sharing>) {
     let mut ticks = time::interval(ROUND);
     ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
     loop {
--- a/crates/tinbank-gateway/src/sharing/held.rs
+++ b/crates/tinbank-gateway/src/sharing/held.rs
@@ -48,7 +48,7 @@
     }
 
     /// Says how the request ended.
-    pub fn end(&self, outcome: Outcome) {
+    pub fn set_outcome(&self, outcome: Outcome) {
         self.outcome.set(outcome);
     }
 }
--- a/crates/tinbank-gateway/src/sharing/survey.rs
+++ b/crates/tinbank-gateway/src/sharing/load_poll.rs
@@ -33,7 +33,7 @@
 const LONGEST: Duration = Duration::from_secs(10);
 
 /// Asks whenever the allocator begins to learn, for as long as the process runs.
-pub(crate) async fn survey(node: Rc<Node>) {
+pub(crate) async fn poll_upstream_load(node: Rc<Node>) {
     loop {
         node.sharing.learning.notified().await;
         let until = Instant::now() + LONGEST;
--- a/crates/tinbank-gateway/src/view/entries.rs
+++ b/crates/tinbank-gateway/src/view/entries.rs
@@ -57,7 +57,7 @@
         List::Hosts => {
             let is_first = view.peers_read_at.replace(Some(at)).is_none();
             if changed || is_first {
-                node.sharing.peers(view.hosts());
+                node.sharing.set_hosts(view.hosts());
             }
             node.feed.listed(&node.sharing, Instant::now());
         }
