--- a/crates/tinbank-gateway/src/batch/item.rs
+++ b/crates/tinbank-gateway/src/batch/item.rs
@@ -17,8 +17,8 @@
     border::engine::{Request, Verdict},
     node::Node,
     relay::{
-        answer::Answer,
-        attempt::{self, Opened},
+        answer::AnswerBody,
+        attempt::{self, StartedAnswer},
     },
     sharing::Lease,
 };
@@ -153,7 +153,7 @@
             return Ended::Failed;
         }
     }
-    let Opened {
+    let StartedAnswer {
         lease,
         body,
         guard: _guard,
@@ -167,17 +167,17 @@
     ended
 }
 
-async fn read(mut body: Answer, progress: &RefCell<Progress>) -> (Ended, Outcome) {
+async fn read(mut body: AnswerBody, progress: &RefCell<Progress>) -> (Ended, Outcome) {
     let mut splitter = Splitter::default();
     loop {
         let frame = match time::timeout(SILENCE, body.frame()).await {
             Err(_) => return (Ended::Broken, Outcome::Silent),
             Ok(None) if splitter.is_partial() => {
-                body.cut();
+                body.mark_truncated();
                 return (Ended::Broken, Outcome::Failed);
             }
             Ok(None) => {
-                body.whole();
+                body.mark_complete();
                 return (Ended::Completed, Outcome::Served);
             }
             Ok(Some(Err(_))) => return (Ended::Broken, Outcome::Failed),
@@ -193,7 +193,7 @@
             if !progress.borrow_mut().take(&event) {
                 return (Ended::Broken, Outcome::Failed);
             }
-            body.reached(progress.borrow().last);
+            body.record_event(progress.borrow().last);
         }
     }
 }
--- a/crates/tinbank-gateway/src/relay/answer.rs
+++ b/crates/tinbank-gateway/src/relay/answer.rs
@@ -39,13 +39,13 @@
 }
 
 /// The body of an answer. Whoever reads it need not care for what a break means for other requests.
-pub(crate) struct Answer {
+pub(crate) struct AnswerBody {
     body: Incoming,
     witness: Witness,
     is_whole: Cell<bool>,
 }
 
-impl Drop for Answer {
+impl Drop for AnswerBody {
     fn drop(&mut self) {
         let Witness {
             node,
@@ -60,7 +60,7 @@
     }
 }
 
-impl Answer {
+impl AnswerBody {
     pub fn new(body: Incoming, witness: Witness) -> Self {
         Self {
             body,
@@ -70,22 +70,22 @@
     }
 
     /// An event of the answer has come.
-    pub fn reached(&self, event: event::Id) {
+    pub fn record_event(&self, event: event::Id) {
         self.witness.reached.set(event);
     }
 
     /// The answer was whole.
-    pub fn whole(&self) {
+    pub fn mark_complete(&self) {
         self.is_whole.set(true);
     }
 
     /// The body has ended within an event. Where it has no length, that is how an upstream's end shows.
-    pub fn cut(&self) {
+    pub fn mark_truncated(&self) {
         self.witness.broken();
     }
 }
 
-impl Body for Answer {
+impl Body for AnswerBody {
     type Data = Bytes;
     type Error = hyper::Error;
 
--- a/crates/tinbank-gateway/src/relay/attempt.rs
+++ b/crates/tinbank-gateway/src/relay/attempt.rs
@@ -11,7 +11,7 @@
 use tinbank_quarantine::fingerprint::short;
 use tinbank_relay::event;
 
-use super::answer::{Answer, Witness};
+use super::answer::{AnswerBody, Witness};
 use crate::{
     border::engine::{Attempt, Request, Verdict},
     exchange::{self, Error, Guard, Until},
@@ -38,10 +38,10 @@
 }
 
 /// An answer that has begun.
-pub(crate) struct Opened {
+pub(crate) struct StartedAnswer {
     pub lease: Lease,
     pub head: Parts,
-    pub body: Answer,
+    pub body: AnswerBody,
     pub guard: Guard,
     pub verdict: Verdict,
 }
@@ -55,7 +55,7 @@
     resume_after: Option<event::Id>,
     deadline: Instant,
     until: Instant,
-) -> Result<Opened, Trouble> {
+) -> Result<StartedAnswer, Trouble> {
     let now = Instant::now();
     // The one place through which requests, resumed streams and items go to upstreams. It may have waited for its slot while
     // other copies of it ended upstreams.
@@ -93,10 +93,10 @@
         }
     };
     let (head, body) = answer.into_parts();
-    let body = Answer::new(body, witness);
+    let body = AnswerBody::new(body, witness);
     let verdict = node.engine.judge(request, &head);
     match verdict {
-        Verdict::Answer | Verdict::Failed | Verdict::Impossible => Ok(Opened {
+        Verdict::Answer | Verdict::Failed | Verdict::Impossible => Ok(StartedAnswer {
             lease,
             head,
             body,
--- a/crates/tinbank-gateway/src/relay/body.rs
+++ b/crates/tinbank-gateway/src/relay/body.rs
@@ -11,7 +11,7 @@
 use tinbank_allocator::lease::Outcome;
 use tokio::time::{self, Sleep};
 
-use super::answer::Answer;
+use super::answer::AnswerBody;
 use crate::{
     border::{Aborted, Body},
     exchange::Guard,
@@ -46,13 +46,13 @@
 }
 
 /// A body that counts as work in progress until it ends.
-pub(crate) fn hold(body: Body, work: Work) -> Body {
+pub(crate) fn with_work_guard(body: Body, work: Work) -> Body {
     Box::pin(Held { body, _value: work })
 }
 
 /// The body of an upstream's answer, passed on as it comes. Where it comes whole, the lease ends as `whole` says.
 pub(crate) fn relayed(
-    body: Answer,
+    body: AnswerBody,
     lease: Lease,
     guard: Guard,
     whole: Outcome,
@@ -70,7 +70,7 @@
 
 /// A body that is given up at a deadline.
 struct Timed {
-    body: Answer,
+    body: AnswerBody,
     lease: Lease,
     whole: Outcome,
     deadline: Pin<Box<Sleep>>,
@@ -79,7 +79,7 @@
 
 impl Timed {
     fn ended(&self) {
-        self.body.whole();
+        self.body.mark_complete();
         self.lease.set_outcome(self.whole);
     }
 }
--- a/crates/tinbank-gateway/src/relay/mod.rs
+++ b/crates/tinbank-gateway/src/relay/mod.rs
@@ -20,7 +20,7 @@
 use tinbank_relay::route::{Kind, Route};
 use tokio::time;
 
-pub(crate) use self::body::hold;
+pub(crate) use self::body::with_work_guard;
 use self::online::{Arrival, Online};
 use crate::{
     access::{self, Denied},
--- a/crates/tinbank-gateway/src/relay/online.rs
+++ b/crates/tinbank-gateway/src/relay/online.rs
@@ -21,7 +21,7 @@
 
 use super::{
     RETRY_AFTER,
-    attempt::{self, Opened, Trouble},
+    attempt::{self, StartedAnswer, Trouble},
     body, reply_with,
     stream::Stream,
 };
@@ -148,7 +148,7 @@
     }
 
     /// An answer that an upstream began, or what to tell the caller.
-    async fn open(&mut self, resume_after: Option<u64>) -> Result<Opened, Next> {
+    async fn open(&mut self, resume_after: Option<u64>) -> Result<StartedAnswer, Next> {
         let mut refusals = 0;
         loop {
             let Some(opened) = self.attempt(resume_after).await? else {
@@ -164,7 +164,7 @@
     }
 
     /// One attempt. Nothing if it gave no answer, which is noted.
-    pub async fn attempt(&mut self, resume_after: Option<u64>) -> Result<Option<Opened>, Next> {
+    pub async fn attempt(&mut self, resume_after: Option<u64>) -> Result<Option<StartedAnswer>, Next> {
         self.count_suspended();
         let now = Instant::now();
         if now >= self.admission.deadline {
@@ -317,7 +317,7 @@
     }
 
     /// Notes an upstream's own failure. True if the request may be sent to another one.
-    fn is_worth_another(&mut self, opened: &Opened) -> bool {
+    fn is_worth_another(&mut self, opened: &StartedAnswer) -> bool {
         if opened.verdict == Verdict::Impossible {
             return false;
         }
@@ -326,8 +326,8 @@
         self.attempts.next() == Next::Again
     }
 
-    fn answer(mut self, opened: Opened, resume_after: Option<u64>) -> Response<Body> {
-        let Opened {
+    fn answer(mut self, opened: StartedAnswer, resume_after: Option<u64>) -> Response<Body> {
+        let StartedAnswer {
             lease,
             head,
             body,
--- a/crates/tinbank-gateway/src/relay/stream.rs
+++ b/crates/tinbank-gateway/src/relay/stream.rs
@@ -14,7 +14,7 @@
 };
 use tokio::time;
 
-use super::{answer::Answer, online::Online};
+use super::{answer::AnswerBody, online::Online};
 use crate::{
     border::{Aborted, Body, engine::Verdict},
     exchange::Guard,
@@ -36,7 +36,7 @@
 /// The upstream that a stream comes from.
 struct Source {
     lease: Lease,
-    body: Answer,
+    body: AnswerBody,
     _guard: Guard,
 }
 
@@ -53,7 +53,7 @@
         relay: Online,
         lease: Lease,
         guard: Guard,
-        body: Answer,
+        body: AnswerBody,
         resume_after: Option<event::Id>,
     ) -> Self {
         let source = Source {
@@ -94,11 +94,11 @@
                     Err(why) => (why, Outcome::Failed),
                 },
                 Heard::End if self.splitter.is_partial() => {
-                    source.body.cut();
+                    source.body.mark_truncated();
                     ("stopped within an event", Outcome::Failed)
                 }
                 Heard::End => {
-                    source.body.whole();
+                    source.body.mark_complete();
                     self.relay.note_served();
                     self.end(Outcome::Served);
                     self.relay.ended = true;
@@ -130,7 +130,7 @@
                 }
                 self.last = Some(id);
                 if let Some(source) = &self.source {
-                    source.body.reached(id);
+                    source.body.record_event(id);
                 }
             }
             self.ready.push_back(event);
--- a/crates/tinbank-gateway/src/serve.rs
+++ b/crates/tinbank-gateway/src/serve.rs
@@ -121,7 +121,7 @@
         let close = HeaderValue::from_static("close");
         answer.headers_mut().insert(header::CONNECTION, close);
     }
-    Ok(answer.map(|body| relay::hold(body, work)))
+    Ok(answer.map(|body| relay::with_work_guard(body, work)))
 }
 
 async fn answer(node: &Rc<Node>, request: Request<Incoming>) -> Response<Body> {
