--- a/crates/tinbank-admission/src/service.rs
+++ b/crates/tinbank-admission/src/service.rs
@@ -92,7 +92,7 @@
         Self { events, shared }
     }
 
-    /// Takes in a datagram; call it from [`tinbank_base::peer::Answer::told`].
+    /// Takes in a datagram; call it from [`tinbank_base::peer::Answer::on_credit`].
     pub fn told(&self, from: Writer, message: Message) {
         self.event(Event::Told(from, message));
     }
@@ -340,7 +340,7 @@
 
     fn send(&self, to: id::Process, message: Message) {
         if let Some(member) = self.members.get(to) {
-            self.peers.tell(member.peer, message);
+            self.peers.send_credit(member.peer, message);
         }
     }
 
@@ -359,7 +359,7 @@
                     self.control(controller::Event::Wish { from, wish }, now);
                 } else {
                     self.peers
-                        .tell(address, Message::Wish([wish].into_iter().collect()));
+                        .send_credit(address, Message::Wish([wish].into_iter().collect()));
                 }
             }
         }
--- a/crates/tinbank-admission/tests/service.rs
+++ b/crates/tinbank-admission/tests/service.rs
@@ -67,13 +67,13 @@
         Err(Error::Connect(to))
     }
 
-    fn tell(&self, _: SocketAddr, message: Message) {
+    fn send_credit(&self, _: SocketAddr, message: Message) {
         if let Some(service) = &*self.service.lock().unwrap() {
             service.told(writer(2, Role::Online), message);
         }
     }
 
-    fn tell_demand(&self, _to: SocketAddr, _message: demand::Message) {}
+    fn send_demand(&self, _to: SocketAddr, _message: demand::Message) {}
 }
 
 fn start(lean: u16) -> (Service, Teller) {
--- a/crates/tinbank-base/src/peer.rs
+++ b/crates/tinbank-base/src/peer.rs
@@ -44,10 +44,10 @@
     ) -> Result<Vec<Response>, Error>;
 
     /// Sends a datagram about batch credits. It may be lost.
-    fn tell(&self, to: SocketAddr, message: credit::Message);
+    fn send_credit(&self, to: SocketAddr, message: credit::Message);
 
     /// Sends a datagram about limits. It may be lost.
-    fn tell_demand(&self, to: SocketAddr, message: demand::Message);
+    fn send_demand(&self, to: SocketAddr, message: demand::Message);
 }
 
 /// Answers the requests of other processes.
@@ -57,10 +57,10 @@
     async fn answer(&self, from: Writer, request: Request) -> BoxStream<'static, Response>;
 
     /// Takes in a datagram about batch credits.
-    fn told(&self, from: Writer, message: credit::Message);
+    fn on_credit(&self, from: Writer, message: credit::Message);
 
     /// Takes in a datagram about limits. Only online processes keep any, so that others need not say that they drop it.
-    fn told_demand(&self, _from: Writer, _message: demand::Message) {}
+    fn on_demand(&self, _from: Writer, _message: demand::Message) {}
 }
 
 /// A process that we know of.
--- a/crates/tinbank-batch/src/owner/answer.rs
+++ b/crates/tinbank-batch/src/owner/answer.rs
@@ -127,7 +127,7 @@
         self.ask(request).await
     }
 
-    fn told(&self, from: Writer, message: credit::Message) {
+    fn on_credit(&self, from: Writer, message: credit::Message) {
         if let Some(credits) = &self.credits {
             credits.told(from, message);
         }
--- a/crates/tinbank-batch/tests/support/net.rs
+++ b/crates/tinbank-batch/tests/support/net.rs
@@ -85,9 +85,9 @@
             })
     }
 
-    fn tell(&self, _to: SocketAddr, _message: credit::Message) {}
+    fn send_credit(&self, _to: SocketAddr, _message: credit::Message) {}
 
-    fn tell_demand(&self, _to: SocketAddr, _message: demand::Message) {}
+    fn send_demand(&self, _to: SocketAddr, _message: demand::Message) {}
 }
 
 #[derive(Debug)]
--- a/crates/tinbank-fleet/src/server.rs
+++ b/crates/tinbank-fleet/src/server.rs
@@ -153,5 +153,5 @@
         stream::iter(frames).boxed()
     }
 
-    fn told(&self, _from: Writer, _message: credit::Message) {}
+    fn on_credit(&self, _from: Writer, _message: credit::Message) {}
 }
--- a/crates/tinbank-load/src/slopes/fleet.rs
+++ b/crates/tinbank-load/src/slopes/fleet.rs
@@ -190,7 +190,7 @@
         Err(Error::Connect(to))
     }
 
-    fn tell(&self, to: SocketAddr, message: credit::Message) {
+    fn send_credit(&self, to: SocketAddr, message: credit::Message) {
         let loads = matches!(message, credit::Message::Load(_));
         let datagram = Datagram {
             sender: self.own,
@@ -213,7 +213,7 @@
         }
     }
 
-    fn tell_demand(&self, _to: SocketAddr, _message: demand::Message) {}
+    fn send_demand(&self, _to: SocketAddr, _message: demand::Message) {}
 }
 
 #[derive(Debug)]
--- a/crates/tinbank-online/src/control/limits.rs
+++ b/crates/tinbank-online/src/control/limits.rs
@@ -59,7 +59,7 @@
         return told(ctx, ctx.writer, &message);
     }
     if let Some(member) = members.get(to) {
-        ctx.peers.tell_demand(member.peer, message);
+        ctx.peers.send_demand(member.peer, message);
     }
 }
 
--- a/crates/tinbank-online/src/control/peers.rs
+++ b/crates/tinbank-online/src/control/peers.rs
@@ -34,9 +34,9 @@
     }
 
     /// Online processes get no credits: a frame that says so is not for us.
-    fn told(&self, _from: Writer, _message: credit::Message) {}
+    fn on_credit(&self, _from: Writer, _message: credit::Message) {}
 
-    fn told_demand(&self, from: Writer, message: demand::Message) {
+    fn on_demand(&self, from: Writer, message: demand::Message) {
         limits::told(&self.ctx, from, &message);
     }
 }
--- a/crates/tinbank-online/src/run/tests/fixture.rs
+++ b/crates/tinbank-online/src/run/tests/fixture.rs
@@ -248,9 +248,9 @@
         answer.map(|answer| vec![answer])
     }
 
-    fn tell(&self, _to: SocketAddr, _message: credit::Message) {}
+    fn send_credit(&self, _to: SocketAddr, _message: credit::Message) {}
 
-    fn tell_demand(&self, _to: SocketAddr, message: demand::Message) {
+    fn send_demand(&self, _to: SocketAddr, message: demand::Message) {
         self.told.lock().unwrap().push(message);
     }
 }
--- a/crates/tinbank-peer/src/endpoint.rs
+++ b/crates/tinbank-peer/src/endpoint.rs
@@ -292,11 +292,11 @@
         }
     }
 
-    fn tell(&self, to: SocketAddr, message: credit::Message) {
+    fn send_credit(&self, to: SocketAddr, message: credit::Message) {
         self.send(to, Body::Credit(message));
     }
 
-    fn tell_demand(&self, to: SocketAddr, message: demand::Message) {
+    fn send_demand(&self, to: SocketAddr, message: demand::Message) {
         self.send(to, Body::Demand(message));
     }
 }
--- a/crates/tinbank-peer/src/receive.rs
+++ b/crates/tinbank-peer/src/receive.rs
@@ -139,12 +139,12 @@
             }
             Body::Credit(message) => {
                 if let Some(answer) = self.answer.get() {
-                    answer.told(datagram.sender, message);
+                    answer.on_credit(datagram.sender, message);
                 }
             }
             Body::Demand(message) => {
                 if let Some(answer) = self.answer.get() {
-                    answer.told_demand(datagram.sender, message);
+                    answer.on_demand(datagram.sender, message);
                 }
             }
         }
--- a/crates/tinbank-peer/tests/requests.rs
+++ b/crates/tinbank-peer/tests/requests.rs
@@ -67,11 +67,11 @@
         }
     }
 
-    fn told(&self, from: Writer, message: credit::Message) {
+    fn on_credit(&self, from: Writer, message: credit::Message) {
         self.told.send((from, Body::Credit(message))).unwrap();
     }
 
-    fn told_demand(&self, from: Writer, message: demand::Message) {
+    fn on_demand(&self, from: Writer, message: demand::Message) {
         self.told.send((from, Body::Demand(message))).unwrap();
     }
 }
@@ -335,7 +335,7 @@
     };
     let message = credit::Message::Load([load].into_iter().collect());
 
-    asker.tell(answerer.address(), message.clone());
+    asker.send_credit(answerer.address(), message.clone());
 
     assert_eq!(
         told.recv().await,
@@ -361,7 +361,7 @@
     };
     let message = demand::Message::Ask(ask);
 
-    asker.tell_demand(answerer.address(), message.clone());
+    asker.send_demand(answerer.address(), message.clone());
 
     assert_eq!(
         told.recv().await,
