--- a/crates/tinbank-base/src/frame/heartbeat.rs
+++ b/crates/tinbank-base/src/frame/heartbeat.rs
@@ -34,7 +34,7 @@
 
 /// News of one process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct MemberUpdate {
     /// Which process and start.
     pub member: Writer,
     /// How often that start has contradicted a suspicion by then; news with a larger number is later.
@@ -78,7 +78,7 @@
     /// The sender's use of its time, in per mille.
     pub load: u16,
     /// News of others, the freshest first.
-    pub news: SmallVec<[News; 4]>,
+    pub news: SmallVec<[MemberUpdate; 4]>,
     /// News of upstreams.
     pub leaving: SmallVec<[Leaving; 4]>,
     /// Whether the receiver should answer with a heartbeat of its own.
--- a/crates/tinbank-base/src/frame/request.rs
+++ b/crates/tinbank-base/src/frame/request.rs
@@ -136,7 +136,8 @@
     /// as of its own offset does not stand in the stream: the answering process made it in place of older entries.
     Config(Vec<Entry>),
     /// The asked process does not own the shard; final. The asker tries the owner it names, or the next in rank.
-    Elsewhere(Option<id::Process>),
+    #[serde(rename = "Elsewhere")]
+    NotOwner(Option<id::Process>),
     /// It did not work; final.
     Failed {
         /// Why.
--- a/crates/tinbank-base/tests/examples/mod.rs
+++ b/crates/tinbank-base/tests/examples/mod.rs
@@ -14,7 +14,7 @@
     frame::{
         Body, Datagram, credit,
         datagram::Key,
-        heartbeat::{Health, Heartbeat, Leaving, News, Phase},
+        heartbeat::{Health, Heartbeat, Leaving, MemberUpdate, Phase},
         request::{Count, Outcome, Request, Response},
     },
     id::{Process, Role},
@@ -246,7 +246,7 @@
         failure_domain: "east".into(),
         config: 300,
         load: 12,
-        news: smallvec![News {
+        news: smallvec![MemberUpdate {
             member: writer(),
             refutation: 2,
             health: Health::Dead,
@@ -295,7 +295,7 @@
             failed: 3,
             cancelled: 4,
         }),
-        Response::Elsewhere(Some(writer().process)),
+        Response::NotOwner(Some(writer().process)),
         Response::Failed {
             code: Code::LogUnavailable,
             ran: Ran::No,
--- a/crates/tinbank-batch/src/asker.rs
+++ b/crates/tinbank-batch/src/asker.rs
@@ -148,7 +148,7 @@
 fn final_word(frames: Result<Vec<Response>, Error>) -> Option<Result<Vec<Response>, Failure>> {
     let frames = frames.ok()?;
     match frames.last()? {
-        Response::Elsewhere(_) => None,
+        Response::NotOwner(_) => None,
         Response::Failed { code, ran, message } => Some(Err(Failure {
             ran: *ran,
             ..Failure::not_run(*code, message.clone())
--- a/crates/tinbank-batch/src/owner/answer.rs
+++ b/crates/tinbank-batch/src/owner/answer.rs
@@ -97,7 +97,7 @@
                     })
                     .await;
                 let Ok(Some(plan)) = plan.await else {
-                    return one(Response::Elsewhere(None));
+                    return one(Response::NotOwner(None));
                 };
                 let wanted = Wanted { shard, custom_id };
                 let (frames, answer) = mpsc::channel(FRAMES_AHEAD);
@@ -115,7 +115,7 @@
             request => {
                 let (reply, answer) = oneshot::channel();
                 self.owner.ask(Ask::Request { request, reply }).await;
-                one(answer.await.unwrap_or(Response::Elsewhere(None)))
+                one(answer.await.unwrap_or(Response::NotOwner(None)))
             }
         }
     }
--- a/crates/tinbank-batch/src/owner/appends.rs
+++ b/crates/tinbank-batch/src/owner/appends.rs
@@ -113,7 +113,7 @@
             if let What::Wait(wait) = what {
                 answer(
                     wait.reply,
-                    tinbank_base::frame::request::Response::Elsewhere(None),
+                    tinbank_base::frame::request::Response::NotOwner(None),
                 );
             }
             return;
--- a/crates/tinbank-batch/src/owner/asks.rs
+++ b/crates/tinbank-batch/src/owner/asks.rs
@@ -103,7 +103,7 @@
             .get(&shard)
             .filter(|followed| followed.answers())
         else {
-            return answer(reply, Response::Elsewhere(None));
+            return answer(reply, Response::NotOwner(None));
         };
         let then = Then::Job(job);
         if followed.fold.job(job).is_some() {
@@ -119,7 +119,7 @@
             .get(&shard)
             .filter(|followed| followed.answers())
         else {
-            return answer(reply, Response::Elsewhere(None));
+            return answer(reply, Response::NotOwner(None));
         };
         let known = followed.fold.job(job);
         if let Some(known) = known
@@ -142,7 +142,7 @@
             .get(&shard)
             .filter(|followed| followed.answers())
         else {
-            return answer(reply, Response::Elsewhere(None));
+            return answer(reply, Response::NotOwner(None));
         };
         let known = followed.fold.ask(&claim);
         let then = Then::Claimed(claim.clone());
@@ -159,7 +159,7 @@
     /// Appends a record and answers once it is read back.
     fn append_for(&mut self, shard: id::Shard, record: work::Record, wait: Wait) {
         if !self.shards.contains_key(&shard) {
-            return answer(wait.reply, Response::Elsewhere(None));
+            return answer(wait.reply, Response::NotOwner(None));
         }
         self.append(shard, shard, vec![record], What::Wait(Box::new(wait)));
     }
@@ -168,7 +168,7 @@
         self.dirty.insert(shard);
         match self.shards.get_mut(&shard) {
             Some(followed) => followed.waits.push((past, wait)),
-            None => answer(wait.reply, Response::Elsewhere(None)),
+            None => answer(wait.reply, Response::NotOwner(None)),
         }
     }
 
--- a/crates/tinbank-batch/tests/claims.rs
+++ b/crates/tinbank-batch/tests/claims.rs
@@ -41,7 +41,7 @@
         for host in hosts {
             let answer = world.net.ask(host.address, request.clone(), until).await;
             match answer.ok().and_then(|mut frames| frames.pop()) {
-                None | Some(Response::Elsewhere(_)) => {}
+                None | Some(Response::NotOwner(_)) => {}
                 Some(response) => return response,
             }
         }
--- a/crates/tinbank-membership/src/claim.rs
+++ b/crates/tinbank-membership/src/claim.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use tinbank_base::{
-    frame::heartbeat::{Health, News, Phase},
+    frame::heartbeat::{Health, MemberUpdate, Phase},
     id,
     record::Writer,
 };
@@ -21,7 +21,7 @@
 }
 
 impl Claim {
-    pub(crate) fn from_news(news: News) -> Self {
+    pub(crate) fn from_news(news: MemberUpdate) -> Self {
         Self {
             incarnation: news.member.incarnation,
             refutation: news.refutation,
@@ -33,8 +33,8 @@
         }
     }
 
-    pub(crate) fn to_news(&self, process: id::Process) -> News {
-        News {
+    pub(crate) fn to_news(&self, process: id::Process) -> MemberUpdate {
+        MemberUpdate {
             member: Writer {
                 process,
                 incarnation: self.incarnation,
--- a/crates/tinbank-membership/src/state/learn.rs
+++ b/crates/tinbank-membership/src/state/learn.rs
@@ -4,7 +4,7 @@
 
 use tinbank_base::{
     event,
-    frame::heartbeat::{Health, Heartbeat, News, Phase},
+    frame::heartbeat::{Health, Heartbeat, MemberUpdate, Phase},
     id,
     record::Writer,
 };
@@ -90,7 +90,7 @@
     }
 
     /// Takes in news of a third process or of ourselves, and tells whether it is urgent.
-    fn learn_news(&mut self, news: News, now: Instant, actions: &mut Vec<Action>) -> bool {
+    fn learn_news(&mut self, news: MemberUpdate, now: Instant, actions: &mut Vec<Action>) -> bool {
         if news.member.process == self.own.writer.process {
             return self.refute(&news);
         }
@@ -100,7 +100,7 @@
     }
 
     /// Contradicts a claim that we are silent or dead.
-    fn refute(&mut self, news: &News) -> bool {
+    fn refute(&mut self, news: &MemberUpdate) -> bool {
         let accused = matches!(news.health, Health::Suspect | Health::Dead);
         let about_us =
             news.member.incarnation == self.own.writer.incarnation || news.member.incarnation == 0;
--- a/crates/tinbank-membership/src/state/send.rs
+++ b/crates/tinbank-membership/src/state/send.rs
@@ -3,7 +3,7 @@
 use rand::{Rng, seq::SliceRandom};
 use smallvec::SmallVec;
 use tinbank_base::{
-    frame::heartbeat::{Health, Heartbeat, Leaving, News},
+    frame::heartbeat::{Health, Heartbeat, Leaving, MemberUpdate},
     id,
 };
 
@@ -54,7 +54,7 @@
     }
 
     /// First what the receiver has to refute, then what is fresh, then some at random: many for a receiver that is new.
-    fn pick_news(&mut self, to: Option<id::Process>) -> SmallVec<[News; 4]> {
+    fn pick_news(&mut self, to: Option<id::Process>) -> SmallVec<[MemberUpdate; 4]> {
         let accused = to.filter(|&process| self.is_accused(process));
         let mut chosen: SmallVec<[_; MAX_NEWS]> = accused.into_iter().collect();
         for process in self.news.take(MAX_NEWS - chosen.len()) {
--- a/crates/tinbank-online/src/run/claim.rs
+++ b/crates/tinbank-online/src/run/claim.rs
@@ -178,10 +178,10 @@
             continue;
         };
         match frames.into_iter().last() {
-            Some(Response::Elsewhere(Some(owner))) => {
+            Some(Response::NotOwner(Some(owner))) => {
                 waiting.extend(members.get(owner).map(|member| member.peer));
             }
-            Some(Response::Elsewhere(None)) | None => {}
+            Some(Response::NotOwner(None)) | None => {}
             answer => return answer,
         }
     }
--- a/crates/tinbank-online/src/run/tests/claimed.rs
+++ b/crates/tinbank-online/src/run/tests/claimed.rs
@@ -140,7 +140,7 @@
         host: 2,
         role: id::Role::Batch,
     };
-    fixture.peers.then(Response::Elsewhere(Some(owner)));
+    fixture.peers.then(Response::NotOwner(Some(owner)));
     fixture.peers.then(Response::Claimed(Claimed::Won));
 
     let answer = call(&fixture).await;
