--- a/crates/tinbank-gateway/src/batch/item.rs
+++ b/crates/tinbank-gateway/src/batch/item.rs
@@ -17,8 +17,8 @@
     border::engine::{Request, Verdict},
     node::Node,
     relay::{
-        answer::Answer,
-        attempt::{self, Opened},
+        answer::AnswerBody,
+        attempt::{self, StartedAnswer},
     },
     sharing::Lease,
 };
@@ -145,15 +145,15 @@
     match opened.verdict {
         Verdict::Answer => {}
         Verdict::Impossible => {
-            opened.lease.end(Outcome::Served);
+            opened.lease.set_outcome(Outcome::Served);
             return Ended::Impossible;
         }
         _ => {
-            opened.lease.end(Outcome::Failed);
+            opened.lease.set_outcome(Outcome::Failed);
             return Ended::Failed;
         }
     }
-    let Opened {
+    let StartedAnswer {
         lease,
         body,
         guard: _guard,
@@ -163,21 +163,21 @@
         read = read(body, progress) => read,
         () = lease.reclaimed() => (Ended::Reclaimed, Outcome::Inconclusive),
     };
-    lease.end(outcome);
+    lease.set_outcome(outcome);
     ended
 }
 
-async fn read(mut body: Answer, progress: &RefCell<Progress>) -> (Ended, Outcome) {
+async fn read(mut body: AnswerBody, progress: &RefCell<Progress>) -> (Ended, Outcome) {
     let mut splitter = Splitter::default();
     loop {
         let frame = match time::timeout(SILENCE, body.frame()).await {
             Err(_) => return (Ended::Broken, Outcome::Unresponsive),
             Ok(None) if splitter.is_partial() => {
-                body.cut();
+                body.mark_truncated();
                 return (Ended::Broken, Outcome::Failed);
             }
             Ok(None) => {
-                body.whole();
+                body.mark_complete();
                 return (Ended::Completed, Outcome::Served);
             }
             Ok(Some(Err(_))) => return (Ended::Broken, Outcome::Failed),
@@ -193,7 +193,7 @@
             if !progress.borrow_mut().take(&event) {
                 return (Ended::Broken, Outcome::Failed);
             }
-            body.reached(progress.borrow().last);
+            body.record_event(progress.borrow().last);
         }
     }
 }
--- a/crates/tinbank-gateway/src/node.rs
+++ b/crates/tinbank-gateway/src/node.rs
@@ -8,7 +8,7 @@
 };
 
 use tinbank_allocator::{admission::RouteTimings, smoothed_duration::SmoothedDuration};
-use tinbank_relay::{patience::Patience, route::Route};
+use tinbank_relay::{caller_timeout::CallerTimeout, route::Route};
 
 use crate::{
     batch::Batch,
@@ -47,7 +47,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Learned {
     /// How long callers wait.
-    patience: Patience,
+    caller_timeout: CallerTimeout,
     first_event: SmoothedDuration,
     held: SmoothedDuration,
 }
@@ -93,7 +93,7 @@
         log::warn!(pause_ms = pause.as_millis() as u64; "process was paused, reading everything again");
         self.view.invalidate_config();
         self.batch.distrust();
-        self.sharing.forget(now.steady);
+        self.sharing.reset_after_pause(now.steady);
         pauses
     }
 
@@ -102,7 +102,7 @@
         let dealt = self
             .view
             .allocatable(&self.settings.failure_domain, Instant::now());
-        self.sharing.list(dealt);
+        self.sharing.set_upstreams(dealt);
     }
 
     /// The next number of a sequence that draws services by their weights evenly.
@@ -114,7 +114,7 @@
 
     /// True if a request with so much time left is likely its caller's first try.
     pub fn is_first_try(&self, route: &Route, time_left: Duration) -> bool {
-        self.learn(route, |it| it.patience.is_first(time_left, route.timeout))
+        self.learn(route, |it| it.caller_timeout.is_first_try(time_left, route.timeout))
     }
 
     /// What is usual on a route.
--- a/crates/tinbank-gateway/src/relay/online.rs
+++ b/crates/tinbank-gateway/src/relay/online.rs
@@ -21,7 +21,7 @@
 
 use super::{
     RETRY_AFTER,
-    attempt::{self, Opened, Trouble},
+    attempt::{self, StartedAnswer, Trouble},
     body, reply_with,
     stream::Stream,
 };
@@ -34,7 +34,7 @@
     clock::Moment,
     measure,
     node::Node,
-    sharing::{Asked, Lease, Wanted},
+    sharing::{Allocation, Lease, SlotRequest},
 };
 
 /// Attempts that did not run, after which a request is refused.
@@ -140,7 +140,7 @@
             };
             match opened.verdict {
                 Verdict::Failed | Verdict::Impossible if self.is_worth_another(&opened) => {
-                    opened.lease.end(Outcome::Failed);
+                    opened.lease.set_outcome(Outcome::Failed);
                 }
                 _ => return self.answer(opened, resume_after),
             }
@@ -148,7 +148,7 @@
     }
 
     /// An answer that an upstream began, or what to tell the caller.
-    async fn open(&mut self, resume_after: Option<u64>) -> Result<Opened, Next> {
+    async fn open(&mut self, resume_after: Option<u64>) -> Result<StartedAnswer, Next> {
         let mut refusals = 0;
         loop {
             let Some(opened) = self.attempt(resume_after).await? else {
@@ -164,7 +164,7 @@
     }
 
     /// One attempt. Nothing if it gave no answer, which is noted.
-    pub async fn attempt(&mut self, resume_after: Option<u64>) -> Result<Option<Opened>, Next> {
+    pub async fn attempt(&mut self, resume_after: Option<u64>) -> Result<Option<StartedAnswer>, Next> {
         self.count_suspended();
         let now = Instant::now();
         if now >= self.admission.deadline {
@@ -219,7 +219,7 @@
     /// A slot at an upstream of a service, or what to tell the caller.
     async fn lease(&mut self, service: &str) -> Result<Lease, Next> {
         let queue = self.queue();
-        let wanted = Wanted {
+        let wanted = SlotRequest {
             class: Class::Online,
             service,
             exclude: self.attempts.tried(),
@@ -228,20 +228,20 @@
             meter: self.meter.as_ref(),
         };
         match self.node.sharing.lease(&self.node, &wanted).await {
-            Asked::Granted(lease) => {
+            Allocation::Granted(lease) => {
                 // Further attempts are of the same request.
                 self.meter = None;
                 Ok(lease)
             }
-            Asked::OverLimit(returns_in) => {
+            Allocation::OverLimit(returns_in) => {
                 self.over_limit = Some(returns_in);
                 Err(self.attempts.give_up())
             }
-            Asked::Full => {
+            Allocation::Full => {
                 self.overloaded = true;
                 Err(self.attempts.give_up())
             }
-            Asked::Nobody => Err(self.attempts.give_up()),
+            Allocation::NoUpstream => Err(self.attempts.give_up()),
         }
     }
 
@@ -317,7 +317,7 @@
     }
 
     /// Notes an upstream's own failure. True if the request may be sent to another one.
-    fn is_worth_another(&mut self, opened: &Opened) -> bool {
+    fn is_worth_another(&mut self, opened: &StartedAnswer) -> bool {
         if opened.verdict == Verdict::Impossible {
             return false;
         }
@@ -326,8 +326,8 @@
         self.attempts.next() == Next::Again
     }
 
-    fn answer(mut self, opened: Opened, resume_after: Option<u64>) -> Response<Body> {
-        let Opened {
+    fn answer(mut self, opened: StartedAnswer, resume_after: Option<u64>) -> Response<Body> {
+        let StartedAnswer {
             lease,
             head,
             body,
--- a/crates/tinbank-gateway/src/view/entries.rs
+++ b/crates/tinbank-gateway/src/view/entries.rs
@@ -57,7 +57,7 @@
         List::Hosts => {
             let is_first = view.peers_read_at.replace(Some(at)).is_none();
             if changed || is_first {
-                node.sharing.peers(view.hosts());
+                node.sharing.set_hosts(view.hosts());
             }
             node.feed.listed(&node.sharing, Instant::now());
         }
@@ -128,7 +128,7 @@
             });
             let changes = listing.replace(listed.collect(), now);
             if is_own_domain_only {
-                listing.narrow(own);
+                listing.retain_failure_domain(own);
             }
             changes
         }
@@ -140,7 +140,7 @@
             })
             .collect(),
     };
-    let settled = listing.settle(now);
+    let settled = listing.expire_missing(now);
     drop(listing);
     if whole {
         view.lists.changed_upstreams.borrow_mut().restart(end);
