--- a/crates/tinbank-gateway/src/batch/follower.rs
+++ b/crates/tinbank-gateway/src/batch/follower.rs
@@ -129,7 +129,7 @@
 /// While the log was never read to its end, nothing is asked: the answer is known, and callers would add to the load by
 /// which it is not read yet.
 pub(super) async fn catch_up(node: &Node, until: Instant) -> bool {
-    if !node.batch.is_known() {
+    if !node.batch.is_caught_up() {
         return false;
     }
     let from = node.batch.next.get();
--- a/crates/tinbank-gateway/src/batch/mod.rs
+++ b/crates/tinbank-gateway/src/batch/mod.rs
@@ -3,12 +3,12 @@
 mod contents;
 mod follower;
 pub(crate) mod forward;
-pub(crate) mod intake;
 mod item;
 mod large;
 mod owner;
 pub(crate) mod results;
 mod runner;
+pub(crate) mod submission;
 mod writer;
 
 use std::{
@@ -69,12 +69,12 @@
     }
 
     /// True once the log was read to its end.
-    pub fn is_known(&self) -> bool {
+    pub fn is_caught_up(&self) -> bool {
         self.known.get()
     }
 
     /// Forgets what it owns, after a pause of the process.
-    pub fn distrust(&self) {
+    pub fn invalidate_membership(&self) {
         self.owner.distrust();
     }
 
--- a/crates/tinbank-gateway/src/batch/results.rs
+++ b/crates/tinbank-gateway/src/batch/results.rs
@@ -168,7 +168,7 @@
 /// What to say of a job that the table does not have: that there is none only while the table holds the log. A host that gave
 /// its duty up while a call waited has forgotten it.
 pub(super) fn absent(node: &Node, job: &str) -> Reply {
-    match node.batch.is_known() {
+    match node.batch.is_caught_up() {
         true => not_found(job),
         false => unsure(job, "log of jobs not followed any more"),
     }
--- a/crates/tinbank-gateway/src/batch/runner/next.rs
+++ b/crates/tinbank-gateway/src/batch/runner/next.rs
@@ -32,7 +32,7 @@
 
 /// The item that is due first among those that this process owns and that may run now.
 pub(super) fn next(node: &Rc<Node>) -> Option<Candidate> {
-    if node.stop.is_stopping() || !node.batch.is_known() {
+    if node.stop.is_stopping() || !node.batch.is_caught_up() {
         return None;
     }
     let config = node.view.config()?;
--- a/crates/tinbank-gateway/src/batch/intake.rs
+++ b/crates/tinbank-gateway/src/batch/submission.rs
@@ -114,7 +114,7 @@
 /// True if the log of jobs is surely reached now. While its reads are answered, nothing is asked; otherwise one short
 /// read tells, before anything is sent that can't be taken back.
 async fn is_log_reached(node: &Node, route: &Route) -> bool {
-    if !node.batch.is_known() {
+    if !node.batch.is_caught_up() {
         return false;
     }
     let now = Instant::now();
@@ -227,7 +227,7 @@
 }
 
 /// Ends a job: nothing of it runs from a moment later on.
-pub(crate) async fn end(node: &Node, job: JobId) -> Reply {
+pub(crate) async fn cancel(node: &Node, job: JobId) -> Reply {
     let deadline = Instant::now() + END_TIMEOUT;
     let ended = |node: &Node| {
         let table = node.batch.table.borrow();
--- a/crates/tinbank-gateway/src/node.rs
+++ b/crates/tinbank-gateway/src/node.rs
@@ -92,7 +92,7 @@
         };
         log::warn!(pause_ms = pause.as_millis() as u64; "process was paused, reading everything again");
         self.view.distrust();
-        self.batch.distrust();
+        self.batch.invalidate_membership();
         self.sharing.forget(now.steady);
         pauses
     }
@@ -146,7 +146,7 @@
     /// True if the process can take requests: it knows the configuration and the upstreams, and the jobs if they are for it
     /// to know. A host that is no delegate passes calls about jobs on.
     pub fn is_ready(&self) -> bool {
-        let knows_jobs = self.batch.is_known() || !self.feed.is_delegate();
+        let knows_jobs = self.batch.is_caught_up() || !self.feed.is_delegate();
         self.view.is_known() && knows_jobs && !self.stop.is_stopping()
     }
 }
--- a/crates/tinbank-gateway/src/relay/mod.rs
+++ b/crates/tinbank-gateway/src/relay/mod.rs
@@ -118,7 +118,7 @@
 ) -> Response<Body> {
     let mut refused = None;
     if node.feed.is_delegate() {
-        let reply = batch::intake::submit(node, route, caller, call, &body, deadline).await;
+        let reply = batch::submission::submit(node, route, caller, call, &body, deadline).await;
         if !matches!(reply, Reply::NotRun { .. }) {
             return reply_with(node, reply);
         }
@@ -127,7 +127,7 @@
     match forward(node, &call.id, head, body, Duration::ZERO).await {
         Forwarded::Answered(answer) => answer,
         Forwarded::NotSent => {
-            let refuse = || batch::intake::refuse(call, "no host reached that follows the log");
+            let refuse = || batch::submission::refuse(call, "no host reached that follows the log");
             reply_with(node, refused.unwrap_or_else(refuse))
         }
         // The other host may have taken it in.
--- a/crates/tinbank-gateway/src/serve.rs
+++ b/crates/tinbank-gateway/src/serve.rs
@@ -167,6 +167,6 @@
     match &about.call {
         JobCall::Results { from, wait } => batch::results::page(node, &job, *from, *wait).await,
         JobCall::Body { item } => batch::results::body(node, &job, item).await,
-        JobCall::End => batch::intake::end(node, job).await,
+        JobCall::End => batch::submission::cancel(node, job).await,
     }
 }
