--- a/crates/tinbank-gateway/src/clock.rs
+++ b/crates/tinbank-gateway/src/clock.rs
@@ -19,43 +19,43 @@
 
 /// A moment on both clocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Moment {
+pub struct ClockReading {
     /// The steady clock.
-    pub steady: Instant,
+    pub monotonic: Instant,
     /// Time since the boot, with the time for which the host was suspended.
     pub since_boot: Duration,
 }
 
-impl Moment {
+impl ClockReading {
     /// Now.
     pub fn read() -> Self {
         let since_boot = clock_gettime(ClockId::Boottime);
         let seconds = u64::try_from(since_boot.tv_sec).unwrap_or_default();
         let nanos = u32::try_from(since_boot.tv_nsec).unwrap_or_default();
         Self {
-            steady: Instant::now(),
+            monotonic: Instant::now(),
             since_boot: Duration::new(seconds, nanos),
         }
     }
 
     /// Time from an earlier moment, whichever clock has counted more of it.
     fn since(self, earlier: Self) -> Duration {
-        let steady = self.steady.saturating_duration_since(earlier.steady);
-        steady.max(self.since_boot.saturating_sub(earlier.since_boot))
+        let monotonic = self.monotonic.saturating_duration_since(earlier.monotonic);
+        monotonic.max(self.since_boot.saturating_sub(earlier.since_boot))
     }
 
     /// Time from an earlier moment that the steady clock has not counted.
     pub fn suspended_since(self, earlier: Self) -> Duration {
-        let steady = self.steady.saturating_duration_since(earlier.steady);
+        let monotonic = self.monotonic.saturating_duration_since(earlier.monotonic);
         let since_boot = self.since_boot.saturating_sub(earlier.since_boot);
-        since_boot.saturating_sub(steady)
+        since_boot.saturating_sub(monotonic)
     }
 }
 
 /// The last moment at which the process ran, and how often it did not run for a while.
 #[derive(Debug)]
 pub struct Clock {
-    last: Cell<Moment>,
+    last: Cell<ClockReading>,
     pauses: Cell<u64>,
     /// The longest pause that nobody has acted on.
     unnoticed: Cell<Option<Duration>>,
@@ -66,7 +66,7 @@
 
 impl Clock {
     /// A clock that was looked at now.
-    pub fn new(now: Moment) -> Self {
+    pub fn new(now: ClockReading) -> Self {
         Self {
             last: Cell::new(now),
             pauses: Cell::new(0),
@@ -75,7 +75,7 @@
     }
 
     /// Looks at the clock. How many pauses there were so far.
-    pub fn look(&self, now: Moment) -> Pauses {
+    pub fn look(&self, now: ClockReading) -> Pauses {
         let gap = now.since(self.last.replace(now));
         if gap > TICK + PAUSE {
             self.pauses.set(self.pauses.get() + 1);
@@ -86,10 +86,10 @@
 
     /// Waits for what comes, and says nothing of it if the process was paused meanwhile: it may have lain there all the time, so
     /// nobody knows how old it is.
-    pub async fn unpaused<T>(&self, coming: impl Future<Output = T>) -> Option<T> {
-        let before = self.look(Moment::read());
+    pub async fn discard_if_paused<T>(&self, coming: impl Future<Output = T>) -> Option<T> {
+        let before = self.look(ClockReading::read());
         let came = coming.await;
-        (self.look(Moment::read()) == before).then_some(came)
+        (self.look(ClockReading::read()) == before).then_some(came)
     }
 
     /// The pause that nobody has acted on yet, if there was one.
--- a/crates/tinbank-gateway/src/node.rs
+++ b/crates/tinbank-gateway/src/node.rs
@@ -13,7 +13,7 @@
 use crate::{
     batch::Batch,
     border::{engine::Engine, ingress::Ingress, store::Store},
-    clock::{Clock, Moment, Pauses},
+    clock::{Clock, ClockReading, Pauses},
     feed::Feed,
     quarantine::Quarantine,
     retry::Retry,
@@ -62,7 +62,7 @@
         sharing: Rc<Sharing>,
     ) -> Self {
         let retry = Rc::new(Retry::default());
-        let clock = Rc::new(Clock::new(Moment::read()));
+        let clock = Rc::new(Clock::new(ClockReading::read()));
         let watched = Watched::new(store, Rc::clone(&retry), Rc::clone(&clock));
         Self {
             feed: Feed::default(),
@@ -85,7 +85,7 @@
     /// Trusts nothing that was known before a pause of the process. It is asked where a call comes in and before anything is
     /// sent, so that nothing happens between the end of a pause and the next tick. How many pauses there were so far.
     pub fn notice_pause(&self) -> Pauses {
-        let now = Moment::read();
+        let now = ClockReading::read();
         let pauses = self.clock.look(now);
         let Some(pause) = self.clock.take_pause() else {
             return pauses;
@@ -93,7 +93,7 @@
         log::warn!(pause_ms = pause.as_millis() as u64; "process was paused, reading everything again");
         self.view.distrust();
         self.batch.distrust();
-        self.sharing.forget(now.steady);
+        self.sharing.forget(now.monotonic);
         pauses
     }
 
--- a/crates/tinbank-gateway/src/relay/mod.rs
+++ b/crates/tinbank-gateway/src/relay/mod.rs
@@ -32,7 +32,7 @@
         Body,
         ingress::{self, Reply},
     },
-    clock::Moment,
+    clock::ClockReading,
     measure,
     node::Node,
 };
@@ -53,8 +53,8 @@
     body: Incoming,
 ) -> Response<Body> {
     node.notice_pause();
-    let at = Moment::read();
-    let received = at.steady;
+    let at = ClockReading::read();
+    let received = at.monotonic;
     let Some(config) = node.view.config_once_known(received + FIRST_READ).await else {
         return refuse(node, &call.id, "no configuration known yet");
     };
--- a/crates/tinbank-gateway/src/relay/online.rs
+++ b/crates/tinbank-gateway/src/relay/online.rs
@@ -31,7 +31,7 @@
         engine::{self, Verdict},
         ingress::Reply,
     },
-    clock::Moment,
+    clock::ClockReading,
     measure,
     node::Node,
     sharing::{Asked, Lease, Wanted},
@@ -48,7 +48,7 @@
     pub attempts: Attempts,
     admission: Admission,
     /// Until then its times are counted by both clocks.
-    counted_at: Moment,
+    counted_at: ClockReading,
     /// When it was sent to the upstream that has it, if it did not have to wait inside it.
     began_at: Option<Instant>,
     /// Event behind which the caller goes on, if it had a part of the answer before.
@@ -80,7 +80,7 @@
 
 /// When and with what a request came.
 pub(super) struct Arrival {
-    pub at: Moment,
+    pub at: ClockReading,
     pub deadline: Instant,
     /// The caller has not come before.
     pub is_first: bool,
@@ -102,7 +102,7 @@
         arrival: Arrival,
     ) -> Self {
         let admission = Admission {
-            received: arrival.at.steady,
+            received: arrival.at.monotonic,
             deadline: arrival.deadline,
             target: route.target_latency,
             is_late: !arrival.is_first,
@@ -208,7 +208,7 @@
     /// Takes time off that has passed while the host was suspended, which the steady clock has not counted. Otherwise an
     /// upstream would work on for as long after its caller has left.
     fn count_suspended(&mut self) {
-        let now = Moment::read();
+        let now = ClockReading::read();
         let suspended = now.suspended_since(self.counted_at);
         self.counted_at = now;
         let earlier = |at: Instant| at.checked_sub(suspended).unwrap_or(at);
--- a/crates/tinbank-gateway/src/watch.rs
+++ b/crates/tinbank-gateway/src/watch.rs
@@ -91,7 +91,7 @@
     call: impl Future<Output = Result<T, Error>>,
 ) -> Result<T, Error> {
     let paused = || Error::Unknown("the process was paused meanwhile".to_owned());
-    clock.unpaused(call).await.ok_or_else(paused)?
+    clock.discard_if_paused(call).await.ok_or_else(paused)?
 }
 
 /// A store whose calls are watched.
--- a/crates/tinbank-gateway/tests/clock.rs
+++ b/crates/tinbank-gateway/tests/clock.rs
@@ -7,23 +7,23 @@
 };
 
 use tinbank_gateway::{
-    clock::{Clock, Moment},
+    clock::{Clock, ClockReading},
     watch::unpaused,
 };
 use yare::parameterized;
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn start() -> Moment {
-    Moment {
-        steady: Instant::now(),
+fn start() -> ClockReading {
+    ClockReading {
+        monotonic: Instant::now(),
         since_boot: 1_000 * SECOND,
     }
 }
 
-fn later(than: Moment, steady: Duration, since_boot: Duration) -> Moment {
-    Moment {
-        steady: than.steady + steady,
+fn later(than: ClockReading, steady: Duration, since_boot: Duration) -> ClockReading {
+    ClockReading {
+        monotonic: than.monotonic + steady,
         since_boot: than.since_boot + since_boot,
     }
 }
@@ -67,10 +67,10 @@
 /// The answer lay in a buffer while the process did not run, so it is as old as the pause.
 #[tokio::test]
 async fn what_was_read_across_a_pause_is_not_believed() {
-    let clock = Rc::new(Clock::new(Moment::read()));
+    let clock = Rc::new(Clock::new(ClockReading::read()));
     let paused = Rc::clone(&clock);
     let across = async move {
-        let now = Moment::read();
+        let now = ClockReading::read();
         paused.look(later(now, Duration::ZERO, 10 * SECOND));
         Ok(7)
     };
