--- a/crates/tinbank-gateway/src/batch/follower.rs
+++ b/crates/tinbank-gateway/src/batch/follower.rs
@@ -50,7 +50,7 @@
         match next_page(&node, from, patience.duration()).await {
             Ok(page) => {
                 patience.answered();
-                log_of_jobs.reached();
+                log_of_jobs.record_success();
                 let news = !page.records.is_empty();
                 let end = page.end;
                 take_in(&node, &mut joiner, from, page);
@@ -68,7 +68,7 @@
                 node.batch.next.set(first);
             }
             Err(error) => {
-                log_of_jobs.failed(&error);
+                log_of_jobs.record_failure(&error);
                 if matches!(error, Error::Unknown(_)) {
                     patience.missed();
                 }
--- a/crates/tinbank-gateway/src/batch/owner.rs
+++ b/crates/tinbank-gateway/src/batch/owner.rs
@@ -86,13 +86,13 @@
         let mut pause = ttl(&node) / JOINS_PER_TTL;
         match join(&node).await {
             Ok(lost) => {
-                group.reached();
+                group.record_success();
                 if hand_over(&node, &lost) {
                     pause = WRITE_TIME;
                 }
             }
             Err(error) => {
-                group.failed(&error);
+                group.record_failure(&error);
                 leave_to_others(&node);
             }
         }
--- a/crates/tinbank-gateway/src/batch/writer.rs
+++ b/crates/tinbank-gateway/src/batch/writer.rs
@@ -120,10 +120,10 @@
     loop {
         match call(Instant::now() + timeout).await {
             Ok(done) => {
-                dependency.reached();
+                dependency.record_success();
                 return done;
             }
-            Err(error) => dependency.failed(&error),
+            Err(error) => dependency.record_failure(&error),
         }
         time::sleep(RETRY).await;
         timeout = (timeout * 2).min(LONGEST_TIMEOUT);
--- a/crates/tinbank-gateway/src/dependency.rs
+++ b/crates/tinbank-gateway/src/dependency.rs
@@ -21,7 +21,7 @@
     }
 
     /// It has answered.
-    pub fn reached(&mut self) {
+    pub fn record_success(&mut self) {
         let Some(lost_at) = self.lost_at.take() else {
             return;
         };
@@ -31,7 +31,7 @@
     }
 
     /// It has not answered, or with an error.
-    pub fn failed(&mut self, error: &dyn Display) {
+    pub fn record_failure(&mut self, error: &dyn Display) {
         if self.lost_at.is_some() {
             return;
         }
--- a/crates/tinbank-gateway/src/view/lists.rs
+++ b/crates/tinbank-gateway/src/view/lists.rs
@@ -47,7 +47,7 @@
             }
             Ok(Read::Since(entries)) => {
                 patience.answered();
-                dependency.reached();
+                dependency.record_success();
                 let news = !entries.entries.is_empty();
                 take_in(&node, list, entries, false);
                 if news {
@@ -56,7 +56,7 @@
             }
             Ok(Read::Whole(entries)) => {
                 patience.answered();
-                dependency.reached();
+                dependency.record_success();
                 take_in(&node, list, entries, true);
                 time::sleep(REST).await;
             }
@@ -68,7 +68,7 @@
                     patience.missed();
                 }
                 // What is known stays in force.
-                dependency.failed(&error);
+                dependency.record_failure(&error);
                 node.retry.pause().await;
             }
         }
