--- a/crates/tinbank-gateway/src/batch/forward.rs
+++ b/crates/tinbank-gateway/src/batch/forward.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     border::{Body, whole},
-    exchange::{self, Until},
+    exchange::{self, Deadlines},
     node::Node,
 };
 
@@ -54,9 +54,9 @@
     let mut refused = Forwarded::NotSent;
     for host in hosts.into_iter().take(MOST_HOSTS) {
         let now = Instant::now();
-        let until = Until {
-            connected: now + CONNECT_TIMEOUT,
-            answered: now + ANSWER_TIMEOUT + wait,
+        let until = Deadlines {
+            connect: now + CONNECT_TIMEOUT,
+            response: now + ANSWER_TIMEOUT + wait,
         };
         let request = request(node, head, body.clone());
         match exchange(node, host, request, until).await {
@@ -91,14 +91,14 @@
     node: &Node,
     host: std::net::SocketAddr,
     request: Request<Full<Bytes>>,
-    until: Until,
+    until: Deadlines,
 ) -> Result<Response<Body>, exchange::Error> {
     let (answer, _guard) = exchange::send(host, request, until).await?;
     let (head, body) = answer.into_parts();
-    let body = match time::timeout_at(until.answered.into(), body.collect()).await {
+    let body = match time::timeout_at(until.response.into(), body.collect()).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) => return Err(exchange::Error::Lost(error.to_string())),
-        Err(_) => return Err(exchange::Error::Silent),
+        Err(_) => return Err(exchange::Error::Timeout),
     };
     let answer = node.engine.pass_on(head).body(whole(body));
     answer.map_err(|error| exchange::Error::Lost(error.to_string()))
--- a/crates/tinbank-gateway/src/exchange.rs
+++ b/crates/tinbank-gateway/src/exchange.rs
@@ -36,14 +36,14 @@
     Lost(String),
     /// The request may have arrived, and there was no answer in time.
     #[error("no answer in time")]
-    Silent,
+    Timeout,
 }
 
 /// Closes the connection when it is dropped, which cancels the request at the other side.
 #[derive(Debug)]
-pub struct Guard(AbortHandle);
+pub struct ConnectionGuard(AbortHandle);
 
-impl Drop for Guard {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.abort();
     }
@@ -51,20 +51,20 @@
 
 /// Times by which the parts of an exchange must be done.
 #[derive(Clone, Copy, Debug)]
-pub struct Until {
+pub struct Deadlines {
     /// The connection is there.
-    pub connected: Instant,
+    pub connect: Instant,
     /// The head of the answer is there.
-    pub answered: Instant,
+    pub response: Instant,
 }
 
 /// Sends a request over a new connection and waits for the head of the answer.
 pub async fn send(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
-    until: Until,
-) -> Result<(Response<Incoming>, Guard), Error> {
-    let stream = connect(address, until.connected.min(until.answered)).await?;
+    until: Deadlines,
+) -> Result<(Response<Incoming>, ConnectionGuard), Error> {
+    let stream = connect(address, until.connect.min(until.response)).await?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
         .map_err(|error| Error::NotSent(error.to_string()))?;
@@ -73,18 +73,18 @@
             log::debug!(error:%; "connection ended");
         }
     });
-    let guard = Guard(task.abort_handle());
-    let answer = time::timeout_at(until.answered.into(), sender.send_request(request)).await;
+    let guard = ConnectionGuard(task.abort_handle());
+    let answer = time::timeout_at(until.response.into(), sender.send_request(request)).await;
     match answer {
         Ok(Ok(answer)) => Ok((answer, guard)),
         Ok(Err(error)) => Err(Error::Lost(error.to_string())),
-        Err(_) => Err(Error::Silent),
+        Err(_) => Err(Error::Timeout),
     }
 }
 
 /// Reads the body of an answer for as long as its bytes come, at most `most` of them, and each within `stall` of the one before.
 /// A time for the whole of it would throw away what a slow link has brought, and bring it again.
-pub async fn whole(body: Incoming, most: usize, stall: Duration) -> Result<Bytes, Error> {
+pub async fn read_body(body: Incoming, most: usize, stall: Duration) -> Result<Bytes, Error> {
     let mut body = Limited::new(body, most);
     let mut whole = BytesMut::new();
     loop {
@@ -92,7 +92,7 @@
             Ok(Some(Ok(frame))) => frame,
             Ok(Some(Err(error))) => return Err(Error::Lost(error.to_string())),
             Ok(None) => return Ok(whole.freeze()),
-            Err(_) => return Err(Error::Silent),
+            Err(_) => return Err(Error::Timeout),
         };
         if let Ok(data) = frame.into_data() {
             whole.extend_from_slice(&data);
@@ -113,32 +113,32 @@
 
 /// What a look at an address found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum ProbeOutcome {
     /// Somebody listens there.
     Listening,
     /// Nobody does: the process there has ended.
-    Ended,
+    Refused,
     /// There is no answer: it may be cut off, or without power.
-    Silent,
+    Unresponsive,
 }
 
-impl Found {
+impl ProbeOutcome {
     /// The name for logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Listening => "listening",
-            Self::Ended => "ended",
-            Self::Silent => "silent",
+            Self::Refused => "ended",
+            Self::Unresponsive => "silent",
         }
     }
 }
 
 /// Looks whether somebody listens at an address, by a connection that carries nothing.
-pub async fn look(address: SocketAddr, patience: Duration) -> Found {
+pub async fn probe(address: SocketAddr, patience: Duration) -> ProbeOutcome {
     match time::timeout(patience, TcpStream::connect(address)).await {
-        Ok(Ok(_)) => Found::Listening,
-        Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => Found::Ended,
-        Ok(Err(_)) | Err(_) => Found::Silent,
+        Ok(Ok(_)) => ProbeOutcome::Listening,
+        Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => ProbeOutcome::Refused,
+        Ok(Err(_)) | Err(_) => ProbeOutcome::Unresponsive,
     }
 }
 
--- a/crates/tinbank-gateway/src/feed/follower.rs
+++ b/crates/tinbank-gateway/src/feed/follower.rs
@@ -19,7 +19,7 @@
 use super::server::wait;
 use crate::{
     border::store::List,
-    exchange::{self, Until},
+    exchange::{self, Deadlines},
     node::Node,
     view,
 };
@@ -150,13 +150,13 @@
     let mut request = Request::new(Full::new(body));
     *request.method_mut() = Method::POST;
     let now = Instant::now();
-    let until = Until {
-        connected: now + CONNECT_TIMEOUT,
-        answered: now + wait + ANSWER_TIMEOUT,
+    let until = Deadlines {
+        connect: now + CONNECT_TIMEOUT,
+        response: now + wait + ANSWER_TIMEOUT,
     };
     let (answer, _guard) = exchange::send(delegate, request, until).await?;
     let status = answer.status();
-    let body = exchange::whole(answer.into_body(), MAX_ANSWER, STALL_TIMEOUT).await?;
+    let body = exchange::read_body(answer.into_body(), MAX_ANSWER, STALL_TIMEOUT).await?;
     if !status.is_success() {
         return Err(Error::Status(status.as_u16()));
     }
--- a/crates/tinbank-gateway/src/quarantine/look.rs
+++ b/crates/tinbank-gateway/src/quarantine/look.rs
@@ -11,7 +11,7 @@
 use tokio::{task, time};
 
 use crate::{
-    exchange::{self, Found},
+    exchange::{self, ProbeOutcome},
     measure,
     node::Node,
 };
@@ -54,16 +54,16 @@
     let names = names.map(|it| format!("{}@{}", short(it.request), it.reached));
     let names: Vec<String> = names.collect();
     log::warn!(upstream:%, found = found.name(), contents:% = names.join(","); "upstream broke off");
-    if found == Found::Ended {
+    if found == ProbeOutcome::Refused {
         node.quarantine.saw_end(Report { upstream, requests });
     }
 }
 
-async fn find(address: SocketAddr) -> Found {
-    let mut found = Found::Silent;
+async fn find(address: SocketAddr) -> ProbeOutcome {
+    let mut found = ProbeOutcome::Unresponsive;
     for _ in 0..LOOKS {
-        found = exchange::look(address, LOOK).await;
-        if found != Found::Silent {
+        found = exchange::probe(address, LOOK).await;
+        if found != ProbeOutcome::Unresponsive {
             break;
         }
     }
--- a/crates/tinbank-gateway/src/relay/attempt.rs
+++ b/crates/tinbank-gateway/src/relay/attempt.rs
@@ -14,7 +14,7 @@
 use super::answer::{Answer, Witness};
 use crate::{
     border::engine::{Attempt, Request, Verdict},
-    exchange::{self, Error, Guard, Until},
+    exchange::{self, Error, ConnectionGuard, Deadlines},
     measure,
     node::Node,
     sharing::Lease,
@@ -42,7 +42,7 @@
     pub lease: Lease,
     pub head: Parts,
     pub body: Answer,
-    pub guard: Guard,
+    pub guard: ConnectionGuard,
     pub verdict: Verdict,
 }
 
@@ -70,9 +70,9 @@
     let sent = exchange::send(
         lease.address,
         node.engine.encode(request, attempt),
-        Until {
-            connected: now + CONNECT_TIMEOUT.max(lease.patience()),
-            answered: until,
+        Deadlines {
+            connect: now + CONNECT_TIMEOUT.max(lease.patience()),
+            response: until,
         },
     );
     let sent = sent.await;
@@ -148,12 +148,12 @@
     measure::attempt_failed(match error {
         Error::NotSent(_) => "not_sent",
         Error::Lost(_) => "lost",
-        Error::Silent => "silent",
+        Error::Timeout => "silent",
     });
     let (trouble, outcome) = match error {
         Error::NotSent(_) => (Trouble::NotRun, Outcome::Silent),
         Error::Lost(_) => (Trouble::Lost, Outcome::Failed),
-        Error::Silent => (Trouble::Silent, Outcome::Silent),
+        Error::Timeout => (Trouble::Silent, Outcome::Silent),
     };
     lease.end(outcome);
     trouble
--- a/crates/tinbank-gateway/src/relay/body.rs
+++ b/crates/tinbank-gateway/src/relay/body.rs
@@ -14,7 +14,7 @@
 use super::answer::Answer;
 use crate::{
     border::{Aborted, Body},
-    exchange::Guard,
+    exchange::ConnectionGuard,
     sharing::Lease,
     stop::Work,
 };
@@ -54,7 +54,7 @@
 pub(crate) fn relayed(
     body: Answer,
     lease: Lease,
-    guard: Guard,
+    guard: ConnectionGuard,
     whole: Outcome,
     deadline: Instant,
 ) -> Body {
@@ -74,7 +74,7 @@
     lease: Lease,
     whole: Outcome,
     deadline: Pin<Box<Sleep>>,
-    _guard: Guard,
+    _guard: ConnectionGuard,
 }
 
 impl Timed {
--- a/crates/tinbank-gateway/src/relay/stream.rs
+++ b/crates/tinbank-gateway/src/relay/stream.rs
@@ -17,7 +17,7 @@
 use super::{answer::Answer, online::Online};
 use crate::{
     border::{Aborted, Body, engine::Verdict},
-    exchange::Guard,
+    exchange::ConnectionGuard,
     measure,
     sharing::Lease,
 };
@@ -37,7 +37,7 @@
 struct Source {
     lease: Lease,
     body: Answer,
-    _guard: Guard,
+    _guard: ConnectionGuard,
 }
 
 /// What came from the upstream.
@@ -52,7 +52,7 @@
     pub fn new(
         relay: Online,
         lease: Lease,
-        guard: Guard,
+        guard: ConnectionGuard,
         body: Answer,
         resume_after: Option<event::Id>,
     ) -> Self {
--- a/crates/tinbank-gateway/src/sharing/survey.rs
+++ b/crates/tinbank-gateway/src/sharing/survey.rs
@@ -14,7 +14,7 @@
 
 use crate::{
     border::engine::Load,
-    exchange::{self, Until},
+    exchange::{self, Deadlines},
     node::Node,
 };
 
@@ -82,12 +82,12 @@
 
 async fn ask(node: &Node, upstream: &Upstream) -> Result<Load, Error> {
     let until = Instant::now() + REPORT_TIMEOUT;
-    let times = Until {
-        connected: until,
-        answered: until,
+    let times = Deadlines {
+        connect: until,
+        response: until,
     };
     let (answer, _guard) = exchange::send(upstream.address, node.engine.report(), times).await?;
     let body = time::timeout_at(until.into(), answer.into_body().collect()).await;
-    let body = body.map_err(|_| exchange::Error::Silent)??;
+    let body = body.map_err(|_| exchange::Error::Timeout)??;
     Ok(node.engine.load(&upstream.instance, &body.to_bytes())?)
 }
