--- a/crates/tinbank-gateway/src/batch/runner.rs
+++ b/crates/tinbank-gateway/src/batch/runner.rs
@@ -308,7 +308,7 @@
         }
         drop(pace);
         log::info!(job:% = self.key.0, item = self.key.1, upstream:%, run = number, last, ended:?; "item left its upstream");
-        measure::item_left(ended.name());
+        measure::record_item_run(ended.name());
         match ended {
             Ended::Completed => {
                 let (piece, data) = progress.piece();
--- a/crates/tinbank-gateway/src/dependency.rs
+++ b/crates/tinbank-gateway/src/dependency.rs
@@ -25,7 +25,7 @@
         let Some(lost_at) = self.lost_at.take() else {
             return;
         };
-        measure::store(self.name, true);
+        measure::set_store_reachable(self.name, true);
         let lost_ms = lost_at.elapsed().as_millis() as u64;
         log::info!(dependency = self.name, lost_ms; "dependency regained");
     }
@@ -36,7 +36,7 @@
             return;
         }
         self.lost_at = Some(Instant::now());
-        measure::store(self.name, false);
+        measure::set_store_reachable(self.name, false);
         log::warn!(dependency = self.name, error:%; "dependency lost");
     }
 }
--- a/crates/tinbank-gateway/src/quarantine/look.rs
+++ b/crates/tinbank-gateway/src/quarantine/look.rs
@@ -49,7 +49,7 @@
     let found = find(address).await;
     let requests = node.quarantine.broken.borrow_mut().remove(&upstream);
     let requests = requests.unwrap_or_default();
-    measure::upstream_broke_off(found.name());
+    measure::record_broken_connection(found.name());
     let names = requests.iter();
     let names = names.map(|it| format!("{}@{}", short(it.request), it.reached));
     let names: Vec<String> = names.collect();
--- a/crates/tinbank-gateway/src/quarantine/record.rs
+++ b/crates/tinbank-gateway/src/quarantine/record.rs
@@ -24,7 +24,7 @@
         let _ = time::timeout(ROUND, node.quarantine.changed.notified()).await;
         let now = Instant::now();
         let writes = node.quarantine.table.borrow_mut().writes(now);
-        measure::held_back(node.quarantine.table.borrow().held());
+        measure::set_quarantined_requests(node.quarantine.table.borrow().held());
         if !node.sharing.is_allocator(now) {
             continue;
         }
--- a/crates/tinbank-gateway/src/relay/attempt.rs
+++ b/crates/tinbank-gateway/src/relay/attempt.rs
@@ -121,7 +121,7 @@
 fn held_back(request: &Request, lease: &Lease) -> Trouble {
     let content = short(request.fingerprint());
     log::info!(request:% = request.id, content:%, upstream:% = lease.upstream; "request not sent, upstreams end under it");
-    measure::attempt_failed("held_back");
+    measure::record_failed_attempt("held_back");
     Trouble::HeldBack
 }
 
@@ -135,7 +135,7 @@
 ) -> Trouble {
     let status = head.status.as_u16();
     log::info!(request:% = request.id, upstream:% = lease.upstream, status, why; "attempt refused");
-    measure::attempt_failed(why);
+    measure::record_failed_attempt(why);
     lease.end(match trouble {
         Trouble::NotRun | Trouble::HeldBack => Outcome::Refused,
         Trouble::Lost | Trouble::Silent => Outcome::Failed,
@@ -145,7 +145,7 @@
 
 fn failed(request: &Request, lease: &Lease, error: Error) -> Trouble {
     log::info!(request:% = request.id, upstream:% = lease.upstream, error:%; "attempt without an answer");
-    measure::attempt_failed(match error {
+    measure::record_failed_attempt(match error {
         Error::NotSent(_) => "not_sent",
         Error::Lost(_) => "lost",
         Error::Timeout => "silent",
--- a/crates/tinbank-gateway/src/relay/mod.rs
+++ b/crates/tinbank-gateway/src/relay/mod.rs
@@ -156,7 +156,7 @@
 }
 
 fn reply_with(node: &Node, reply: Reply) -> Response<Body> {
-    measure::replied(&reply);
+    measure::record_reply(&reply);
     node.ingress.encode(reply)
 }
 
--- a/crates/tinbank-gateway/src/relay/online.rs
+++ b/crates/tinbank-gateway/src/relay/online.rs
@@ -334,7 +334,7 @@
             guard,
             verdict,
         } = opened;
-        measure::began(self.admission.received.elapsed());
+        measure::record_response_start(self.admission.received.elapsed());
         let node = Rc::clone(&self.node);
         let passed = self.node.engine.pass_on(head);
         let is_stream =
--- a/crates/tinbank-gateway/src/relay/stream.rs
+++ b/crates/tinbank-gateway/src/relay/stream.rs
@@ -161,7 +161,7 @@
         let resumable = self.is_resumable();
         let from = self.source.as_ref().map(|it| it.lease.upstream.clone());
         self.end(outcome);
-        measure::broke(resumable);
+        measure::record_broken_stream(resumable);
         let id = &self.relay.request.id;
         let upstream = from.as_deref().unwrap_or_default();
         let after = self.last.unwrap_or(0);
--- a/crates/tinbank-gateway/src/serve.rs
+++ b/crates/tinbank-gateway/src/serve.rs
@@ -145,7 +145,7 @@
     {
         return answer;
     }
-    measure::replied(&reply);
+    measure::record_reply(&reply);
     node.ingress.encode(reply)
 }
 
--- a/crates/tinbank-gateway/src/sharing/ask.rs
+++ b/crates/tinbank-gateway/src/sharing/ask.rs
@@ -147,7 +147,7 @@
         };
         let mut pending = Pending::send(self, allocator, ask);
         let mut verdict = pending.first(now, self.patience(allocator)).await;
-        measure::asked(wanted.class, verdict.as_ref(), now.elapsed());
+        measure::record_slot_request(wanted.class, verdict.as_ref(), now.elapsed());
         if verdict == Some(Verdict::Waiting) {
             let until = now + queue.patience().unwrap_or_default();
             verdict = pending.wait(until).await;
--- a/crates/tinbank-gateway/src/view/entries.rs
+++ b/crates/tinbank-gateway/src/view/entries.rs
@@ -104,7 +104,7 @@
         }
     }
     node.view.note_reinstated(changes, Instant::now());
-    measure::evacuated(node.view.evacuated().len());
+    measure::set_evacuated_failure_domains(node.view.evacuated().len());
     node.deal();
 }
 
