--- a/crates/tinbank-gateway/src/access.rs
+++ b/crates/tinbank-gateway/src/access.rs
@@ -9,22 +9,22 @@
 
 /// A request that is not served because of its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Denied {
+pub(crate) enum AuthError {
     /// No customer has the key.
-    NoKey,
+    Unauthorized,
     /// No customer had the key when this host last heard of the configuration, which is some time ago.
-    Unsure,
+    StaleConfig,
 }
 
 /// Who sends a request with a key, or without one, of which `id` is the name. A key that is not known is refused only by a
 /// configuration that was read a moment ago: it may be a new one.
-pub(crate) fn caller(
+pub(crate) fn authenticate(
     node: &Node,
     config: &Config,
     id: &str,
     key: Option<&Key>,
     is_open: bool,
-) -> Result<Caller, Denied> {
+) -> Result<Caller, AuthError> {
     let refusal = match identify(config.customers.as_ref(), key, is_open) {
         Ok(caller) => return Ok(caller),
         Err(refusal) => refusal,
@@ -38,7 +38,7 @@
         .map_or(0, |it| it.as_millis() as u64);
     log::info!(request:% = id, version = config.version, age_ms, why = refusal.why(); "caller not known");
     match refusal {
-        Refusal::Unknown if !is_fresh => Err(Denied::Unsure),
-        Refusal::Unknown | Refusal::Missing => Err(Denied::NoKey),
+        Refusal::Unknown if !is_fresh => Err(AuthError::StaleConfig),
+        Refusal::Unknown | Refusal::Missing => Err(AuthError::Unauthorized),
     }
 }
--- a/crates/tinbank-gateway/src/batch/follower.rs
+++ b/crates/tinbank-gateway/src/batch/follower.rs
@@ -72,7 +72,7 @@
                 if matches!(error, Error::Unknown(_)) {
                     patience.missed();
                 }
-                node.retry.pause().await;
+                node.retry.backoff().await;
             }
         }
         if pruned_at.elapsed() > PRUNE {
--- a/crates/tinbank-gateway/src/batch/intake.rs
+++ b/crates/tinbank-gateway/src/batch/intake.rs
@@ -82,7 +82,7 @@
     if !is_log_reached(node, route).await {
         return refuse(call, "log of jobs not read to its end");
     }
-    let number = identity::number();
+    let number = identity::random_id();
     let listed = items.iter().map(|it| it.item.clone()).collect();
     let contents = Contents(items.into_iter().map(|it| it.content).collect());
     let Some(contents) = attach(node, contents, deadline).await else {
--- a/crates/tinbank-gateway/src/batch/owner.rs
+++ b/crates/tinbank-gateway/src/batch/owner.rs
@@ -160,7 +160,7 @@
             Ok(_) => return,
             Err(error) => log::info!(error:%; "topic of the group not created yet"),
         }
-        node.retry.pause().await;
+        node.retry.backoff().await;
     }
 }
 
--- a/crates/tinbank-gateway/src/batch/runner.rs
+++ b/crates/tinbank-gateway/src/batch/runner.rs
@@ -76,7 +76,7 @@
 
 impl Default for Runner {
     fn default() -> Self {
-        let first_run = identity::number() / RUNS * RUNS;
+        let first_run = identity::random_id() / RUNS * RUNS;
         Self {
             running: RefCell::default(),
             paused: RefCell::default(),
@@ -180,7 +180,7 @@
 /// Runs items for as long as it is polled.
 pub(super) async fn run(node: Rc<Node>) {
     loop {
-        let pauses = node.notice_pause();
+        let pauses = node.check_for_pause();
         let Some(candidate) = next::next(&node) else {
             time::sleep(PAUSE).await;
             continue;
@@ -197,7 +197,7 @@
             time::sleep(PAUSE).await;
             continue;
         };
-        if node.notice_pause() != pauses {
+        if node.check_for_pause() != pauses {
             // The item may be another host's by now.
             continue;
         }
--- a/crates/tinbank-gateway/src/batch/runner/next.rs
+++ b/crates/tinbank-gateway/src/batch/runner/next.rs
@@ -108,7 +108,7 @@
     let key = (job.id.clone(), index);
     let item = job.runnable(index)?;
     let route = config.route(&job.host, &item.path)?;
-    let service = route.service(node.draw())?.clone();
+    let service = route.service(node.next_draw())?.clone();
     let paused = node.batch.runner.paused.borrow();
     let paused = paused.get(&key);
     let failed_at = paused.map(|paused| paused.failed_at.clone());
--- a/crates/tinbank-gateway/src/feed/introduction.rs
+++ b/crates/tinbank-gateway/src/feed/introduction.rs
@@ -108,7 +108,7 @@
         }
         Err(error) => {
             log::info!(error:%; "not named as the first delegate yet");
-            node.retry.pause().await;
+            node.retry.backoff().await;
             false
         }
     }
--- a/crates/tinbank-gateway/src/identity.rs
+++ b/crates/tinbank-gateway/src/identity.rs
@@ -3,6 +3,6 @@
 use rand::Rng;
 
 /// A number that differs between processes and between starts of one process.
-pub(crate) fn number() -> u64 {
+pub(crate) fn random_id() -> u64 {
     rand::rng().random()
 }
--- a/crates/tinbank-gateway/src/node.rs
+++ b/crates/tinbank-gateway/src/node.rs
@@ -77,14 +77,14 @@
             view: View::default(),
             sharing,
             stop: Stop::default(),
-            draws: Cell::new(crate::identity::number()),
+            draws: Cell::new(crate::identity::random_id()),
             learned: RefCell::default(),
         }
     }
 
     /// Trusts nothing that was known before a pause of the process. It is asked where a call comes in and before anything is
     /// sent, so that nothing happens between the end of a pause and the next tick. How many pauses there were so far.
-    pub fn notice_pause(&self) -> Pauses {
+    pub fn check_for_pause(&self) -> Pauses {
         let now = ClockReading::read();
         let pauses = self.clock.look(now);
         let Some(pause) = self.clock.take_pause() else {
@@ -98,7 +98,7 @@
     }
 
     /// Deals out the upstreams of the own failure domain as they are known now.
-    pub fn deal(&self) {
+    pub fn update_allocator(&self) {
         let dealt = self
             .view
             .dealt(&self.settings.failure_domain, Instant::now());
@@ -106,7 +106,7 @@
     }
 
     /// The next number of a sequence that draws services by their weights evenly.
-    pub fn draw(&self) -> u64 {
+    pub fn next_draw(&self) -> u64 {
         let next = self.draws.get().wrapping_add(1);
         self.draws.set(next);
         next
@@ -126,12 +126,12 @@
     }
 
     /// The first event of an answer came so long after its request was sent.
-    pub fn note_first_event(&self, route: &Route, after: Duration) {
+    pub fn record_first_event(&self, route: &Route, after: Duration) {
         self.learn(route, |it| it.first_event.note(after));
     }
 
     /// A request that was served has held its slot for so long.
-    pub fn note_held(&self, route: &Route, time: Duration) {
+    pub fn record_hold_time(&self, route: &Route, time: Duration) {
         self.learn(route, |it| it.held.note(time));
     }
 
--- a/crates/tinbank-gateway/src/quarantine/record.rs
+++ b/crates/tinbank-gateway/src/quarantine/record.rs
@@ -51,7 +51,7 @@
         }
         Err(error) => {
             log::info!(content:% = short(request), held, error:%; "request held back, not written to the store yet");
-            node.retry.pause().await;
+            node.retry.backoff().await;
         }
     }
 }
--- a/crates/tinbank-gateway/src/relay/body.rs
+++ b/crates/tinbank-gateway/src/relay/body.rs
@@ -16,7 +16,7 @@
     border::{Aborted, Body},
     exchange::ConnectionGuard,
     sharing::Lease,
-    stop::Work,
+    stop::WorkGuard,
 };
 
 /// A body that keeps a value until it is dropped.
@@ -46,7 +46,7 @@
 }
 
 /// A body that counts as work in progress until it ends.
-pub(crate) fn hold(body: Body, work: Work) -> Body {
+pub(crate) fn hold(body: Body, work: WorkGuard) -> Body {
     Box::pin(Held { body, _value: work })
 }
 
--- a/crates/tinbank-gateway/src/relay/mod.rs
+++ b/crates/tinbank-gateway/src/relay/mod.rs
@@ -23,7 +23,7 @@
 pub(crate) use self::body::hold;
 use self::online::{Arrival, Online};
 use crate::{
-    access::{self, Denied},
+    access::{self, AuthError},
     batch::{
         self,
         forward::{Forwarded, forward},
@@ -52,7 +52,7 @@
     head: Parts,
     body: Incoming,
 ) -> Response<Body> {
-    node.notice_pause();
+    node.check_for_pause();
     let at = ClockReading::read();
     let received = at.monotonic;
     let Some(config) = node.view.config_once_known(received + FIRST_READ).await else {
@@ -61,10 +61,10 @@
     let Some(route) = config.route(&call.host, &call.path).cloned() else {
         return no_route(node, &call, config.version, received);
     };
-    let caller = match access::caller(node, &config, &call.id, call.key.as_ref(), route.is_open) {
+    let caller = match access::authenticate(node, &config, &call.id, call.key.as_ref(), route.is_open) {
         Ok(caller) => caller,
-        Err(Denied::NoKey) => return reply_with(node, Reply::NoKey),
-        Err(Denied::Unsure) => {
+        Err(AuthError::Unauthorized) => return reply_with(node, Reply::NoKey),
+        Err(AuthError::StaleConfig) => {
             return refuse(node, &call.id, "key not in a configuration that may be old");
         }
     };
--- a/crates/tinbank-gateway/src/relay/online.rs
+++ b/crates/tinbank-gateway/src/relay/online.rs
@@ -175,12 +175,12 @@
         if self.held_until.is_some() {
             return Err(self.attempts.give_up());
         }
-        let Some(service) = self.route.service(self.node.draw()).cloned() else {
+        let Some(service) = self.route.service(self.node.next_draw()).cloned() else {
             return Err(self.attempts.give_up());
         };
-        let pauses = self.node.notice_pause();
+        let pauses = self.node.check_for_pause();
         let lease = self.lease(&service).await?;
-        if self.node.notice_pause() != pauses {
+        if self.node.check_for_pause() != pauses {
             // Its slot may be another one's by now, and its time may be over.
             return Ok(None);
         }
@@ -277,14 +277,14 @@
     /// The first event of the answer has come.
     pub fn note_first_event(&self) {
         if let Some(at) = self.began_at {
-            self.node.note_first_event(&self.route, at.elapsed());
+            self.node.record_first_event(&self.route, at.elapsed());
         }
     }
 
     /// The answer has come whole.
     pub fn note_served(&self) {
         if let Some(at) = self.began_at {
-            self.node.note_held(&self.route, at.elapsed());
+            self.node.record_hold_time(&self.route, at.elapsed());
         }
     }
 
@@ -382,7 +382,7 @@
             Next::Refuse | Next::Again if self.overloaded => {
                 let usual = self.node.usual(&self.route);
                 Reply::NotRun {
-                    retry_after: self.admission.retry_after(usual, self.node.draw()),
+                    retry_after: self.admission.retry_after(usual, self.node.next_draw()),
                 }
             }
             Next::Refuse | Next::Again => Reply::NotRun {
--- a/crates/tinbank-gateway/src/retry.rs
+++ b/crates/tinbank-gateway/src/retry.rs
@@ -28,7 +28,7 @@
     }
 
     /// Pauses after a call that failed.
-    pub async fn pause(&self) {
+    pub async fn backoff(&self) {
         let mut draw = rand::rng();
         let until = self.backoff.borrow_mut().failed(Instant::now(), &mut draw);
         if time::timeout_at(until.into(), self.answered.notified())
--- a/crates/tinbank-gateway/src/run.rs
+++ b/crates/tinbank-gateway/src/run.rs
@@ -99,7 +99,7 @@
         capacity: settings.capacity,
     };
     let followers = bind("hosts that follow this one", listen.peers).await?;
-    let sharing = Sharing::bind(own, identity::number(), settings.allowance).await;
+    let sharing = Sharing::bind(own, identity::random_id(), settings.allowance).await;
     let sharing = sharing.map_err(|source| Error::Listen {
         what: "datagrams of other hosts",
         address: listen.peers,
@@ -184,7 +184,7 @@
             }
             Err(error) => {
                 log::info!(error:%; "host not registered yet");
-                node.retry.pause().await;
+                node.retry.backoff().await;
             }
         }
     }
@@ -204,6 +204,6 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        node.notice_pause();
+        node.check_for_pause();
     }
 }
--- a/crates/tinbank-gateway/src/serve.rs
+++ b/crates/tinbank-gateway/src/serve.rs
@@ -13,7 +13,7 @@
 };
 
 use crate::{
-    access::{self, Denied},
+    access::{self, AuthError},
     batch::{
         self,
         forward::{Forwarded, forward},
@@ -137,7 +137,7 @@
         Call::Request(call) => return relay::request(node, call, head, body).await,
         Call::Job(about) => about,
     };
-    node.notice_pause();
+    node.check_for_pause();
     let reply = about_job(node, &about).await;
     if reply == Reply::Unsure
         && let Forwarded::Answered(answer) =
@@ -155,10 +155,10 @@
         return Reply::Unsure;
     };
     let is_open = config.has_open_jobs(&about.host);
-    let caller = match access::caller(node, &config, &about.job, about.key.as_ref(), is_open) {
+    let caller = match access::authenticate(node, &config, &about.job, about.key.as_ref(), is_open) {
         Ok(caller) => caller,
-        Err(Denied::NoKey) => return Reply::NoKey,
-        Err(Denied::Unsure) => return Reply::Unsure,
+        Err(AuthError::Unauthorized) => return Reply::NoKey,
+        Err(AuthError::StaleConfig) => return Reply::Unsure,
     };
     if !node.feed.is_delegate() {
         return Reply::Unsure;
--- a/crates/tinbank-gateway/src/stop.rs
+++ b/crates/tinbank-gateway/src/stop.rs
@@ -25,9 +25,9 @@
 }
 
 /// Work that a stop waits for. It ends when it is dropped.
-pub(crate) struct Work(Rc<Node>);
+pub(crate) struct WorkGuard(Rc<Node>);
 
-impl Drop for Work {
+impl Drop for WorkGuard {
     fn drop(&mut self) {
         let busy = &self.0.stop.busy;
         busy.set(busy.get() - 1);
@@ -49,10 +49,10 @@
 }
 
 /// Marks work that a stop waits for.
-pub(crate) fn work(node: &Rc<Node>) -> Work {
+pub(crate) fn work(node: &Rc<Node>) -> WorkGuard {
     let busy = &node.stop.busy;
     busy.set(busy.get() + 1);
-    Work(Rc::clone(node))
+    WorkGuard(Rc::clone(node))
 }
 
 /// Stops the process: it takes requests until the balancer knows, finishes them, and returns.
--- a/crates/tinbank-gateway/src/view/entries.rs
+++ b/crates/tinbank-gateway/src/view/entries.rs
@@ -51,7 +51,7 @@
         List::Upstreams => {
             view.upstreams_read_at.set(Some(at));
             if changed || node.sharing.lacks_upstreams() {
-                node.deal();
+                node.update_allocator();
             }
         }
         List::Hosts => {
@@ -105,7 +105,7 @@
     }
     node.view.note_reinstated(changes, Instant::now());
     measure::set_evacuated_failure_domains(node.view.evacuated().len());
-    node.deal();
+    node.update_allocator();
 }
 
 /// True if something is believed anew.
@@ -256,6 +256,6 @@
     let same_starts = before.is_some_and(|it| it.cold_starts == config.cold_starts);
     *view.config.borrow_mut() = Some(Rc::new(config));
     if !same_starts {
-        node.deal();
+        node.update_allocator();
     }
 }
--- a/crates/tinbank-gateway/src/view/lists.rs
+++ b/crates/tinbank-gateway/src/view/lists.rs
@@ -69,7 +69,7 @@
                 }
                 // What is known stays in force.
                 dependency.record_failure(&error);
-                node.retry.pause().await;
+                node.retry.backoff().await;
             }
         }
     }
