--- a/crates/tinbank-gateway/src/batch/forward.rs
+++ b/crates/tinbank-gateway/src/batch/forward.rs
@@ -81,7 +81,7 @@
 }
 
 fn request(node: &Node, head: &Parts, body: Bytes) -> Request<Full<Bytes>> {
-    let mut request = node.engine.passed_on(head, body);
+    let mut request = node.engine.forwarded_request(head, body);
     let mark = HeaderValue::from_static("1");
     request.headers_mut().insert(FORWARDED, mark);
     request
@@ -100,6 +100,6 @@
         Ok(Err(error)) => return Err(exchange::Error::Lost(error.to_string())),
         Err(_) => return Err(exchange::Error::Timeout),
     };
-    let answer = node.engine.pass_on(head).body(whole(body));
+    let answer = node.engine.caller_response(head).body(whole(body));
     answer.map_err(|error| exchange::Error::Lost(error.to_string()))
 }
--- a/crates/tinbank-gateway/src/batch/item.rs
+++ b/crates/tinbank-gateway/src/batch/item.rs
@@ -144,7 +144,7 @@
     };
     match opened.verdict {
         Verdict::Answer => {}
-        Verdict::Impossible => {
+        Verdict::Unprocessable => {
             opened.lease.end(Outcome::Served);
             return Ended::Impossible;
         }
--- a/crates/tinbank-gateway/src/batch/runner.rs
+++ b/crates/tinbank-gateway/src/batch/runner.rs
@@ -240,7 +240,7 @@
         None if has_customers => Sender::Anonymous,
         None => Sender::Unchecked,
     };
-    let request = node.engine.item(engine::Item {
+    let request = node.engine.item_request(engine::Item {
         host: &job.host,
         sender,
         id: &item.id,
--- a/crates/tinbank-gateway/src/border/engine.rs
+++ b/crates/tinbank-gateway/src/border/engine.rs
@@ -122,7 +122,7 @@
     /// The upstream ran the request and failed.
     Failed,
     /// The upstream says that the request can never be done.
-    Impossible,
+    Unprocessable,
 }
 
 /// How much an upstream has to do, as it told some hundred milliseconds later.
@@ -137,16 +137,16 @@
 /// A report that can't be used.
 #[derive(Debug, thiserror::Error)]
 #[error("report can't be used: {0}")]
-pub struct Unreadable(pub String);
+pub struct InvalidReport(pub String);
 
 /// Encodes requests and reads answers.
 pub trait Engine {
     /// The request for an upstream's report.
-    fn report(&self) -> http::Request<Full<Bytes>>;
+    fn load_request(&self) -> http::Request<Full<Bytes>>;
     /// What the report of an upstream says. One of another start of it says nothing about this one.
-    fn load(&self, instance: &str, report: &[u8]) -> Result<Load, Unreadable>;
+    fn parse_load(&self, instance: &str, report: &[u8]) -> Result<Load, InvalidReport>;
     /// The request of a caller, by its head and body. Upstreams are told whose it is, and never by which key.
-    fn relayed(
+    fn relayed_request(
         &self,
         id: &str,
         sender: Sender<'_>,
@@ -154,13 +154,13 @@
         body: Bytes,
     ) -> Request;
     /// A call as it came, for another host, which has to know the key as well.
-    fn passed_on(&self, head: &http::request::Parts, body: Bytes) -> http::Request<Full<Bytes>>;
+    fn forwarded_request(&self, head: &http::request::Parts, body: Bytes) -> http::Request<Full<Bytes>>;
     /// The request of a batch item.
-    fn item(&self, item: Item<'_>) -> Request;
+    fn item_request(&self, item: Item<'_>) -> Request;
     /// The bytes of an attempt.
     fn encode(&self, request: &Request, attempt: Attempt<'_>) -> http::Request<Full<Bytes>>;
     /// What the head of an answer says.
-    fn judge(&self, request: &Request, head: &http::response::Parts) -> Verdict;
+    fn classify(&self, request: &Request, head: &http::response::Parts) -> Verdict;
     /// The head for the caller, from that of the upstream.
-    fn pass_on(&self, head: http::response::Parts) -> http::response::Builder;
+    fn caller_response(&self, head: http::response::Parts) -> http::response::Builder;
 }
--- a/crates/tinbank-gateway/src/relay/attempt.rs
+++ b/crates/tinbank-gateway/src/relay/attempt.rs
@@ -94,9 +94,9 @@
     };
     let (head, body) = answer.into_parts();
     let body = Answer::new(body, witness);
-    let verdict = node.engine.judge(request, &head);
+    let verdict = node.engine.classify(request, &head);
     match verdict {
-        Verdict::Answer | Verdict::Failed | Verdict::Impossible => Ok(Opened {
+        Verdict::Answer | Verdict::Failed | Verdict::Unprocessable => Ok(Opened {
             lease,
             head,
             body,
--- a/crates/tinbank-gateway/src/relay/mod.rs
+++ b/crates/tinbank-gateway/src/relay/mod.rs
@@ -77,7 +77,7 @@
     if route.kind == Kind::Batch {
         return submit(node, &route, &caller, &call, &head, body, deadline).await;
     }
-    let request = node.engine.relayed(&call.id, (&caller).into(), &head, body);
+    let request = node.engine.relayed_request(&call.id, (&caller).into(), &head, body);
     let request = Rc::new(request);
     let arrival = Arrival {
         at,
--- a/crates/tinbank-gateway/src/relay/online.rs
+++ b/crates/tinbank-gateway/src/relay/online.rs
@@ -139,7 +139,7 @@
                 Err(next) => return self.give_up(next),
             };
             match opened.verdict {
-                Verdict::Failed | Verdict::Impossible if self.is_worth_another(&opened) => {
+                Verdict::Failed | Verdict::Unprocessable if self.is_worth_another(&opened) => {
                     opened.lease.end(Outcome::Failed);
                 }
                 _ => return self.answer(opened, resume_after),
@@ -318,7 +318,7 @@
 
     /// Notes an upstream's own failure. True if the request may be sent to another one.
     fn is_worth_another(&mut self, opened: &Opened) -> bool {
-        if opened.verdict == Verdict::Impossible {
+        if opened.verdict == Verdict::Unprocessable {
             return false;
         }
         self.attempts
@@ -336,7 +336,7 @@
         } = opened;
         measure::record_response_start(self.admission.received.elapsed());
         let node = Rc::clone(&self.node);
-        let passed = self.node.engine.pass_on(head);
+        let passed = self.node.engine.caller_response(head);
         let is_stream =
             verdict == Verdict::Answer && matches!(self.route.kind, Kind::Stream { .. });
         let body: Body = match is_stream {
