--- a/crates/tinbank-gateway/src/batch/forward.rs
+++ b/crates/tinbank-gateway/src/batch/forward.rs
@@ -11,7 +11,7 @@
 use tokio::time;
 
 use crate::{
-    border::{Body, whole},
+    border::{Body, full_body},
     exchange::{self, Deadlines},
     node::Node,
 };
@@ -100,6 +100,6 @@
         Ok(Err(error)) => return Err(exchange::Error::Lost(error.to_string())),
         Err(_) => return Err(exchange::Error::Timeout),
     };
-    let answer = node.engine.caller_response(head).body(whole(body));
+    let answer = node.engine.caller_response(head).body(full_body(body));
     answer.map_err(|error| exchange::Error::Lost(error.to_string()))
 }
--- a/crates/tinbank-gateway/src/batch/results.rs
+++ b/crates/tinbank-gateway/src/batch/results.rs
@@ -13,7 +13,7 @@
 use super::{contents, follower, large};
 use crate::{
     border::{
-        ingress::{Listed, Page, Reply, Text},
+        ingress::{ItemResult, Page, Reply, ItemOutcome},
         store::Error,
     },
     node::Node,
@@ -81,8 +81,8 @@
     let from = outline.next - outline.results.len();
     let filled = outline.results.iter().map(|(item, result)| async move {
         let result = match result {
-            Final::Abandoned(reason) => Ok(Text::Abandoned(*reason)),
-            Final::Completed(pieces) => text(node, pieces).await.map(Text::Completed),
+            Final::Abandoned(reason) => Ok(ItemOutcome::Abandoned(*reason)),
+            Final::Completed(pieces) => text(node, pieces).await.map(ItemOutcome::Completed),
         };
         (item, result)
     });
@@ -90,7 +90,7 @@
     let mut results = Vec::with_capacity(outline.results.len());
     while let Some((item, result)) = filled.next().await {
         match result {
-            Ok(result) => results.push(Listed {
+            Ok(result) => results.push(ItemResult {
                 item: item.clone(),
                 result,
             }),
--- a/crates/tinbank-gateway/src/border/ingress.rs
+++ b/crates/tinbank-gateway/src/border/ingress.rs
@@ -98,7 +98,7 @@
 
 /// The result of an item for its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Text {
+pub enum ItemOutcome {
     /// The data of all events, in order, separated by line feeds.
     Completed(Bytes),
     /// The item is given up.
@@ -107,11 +107,11 @@
 
 /// A result at its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct ItemResult {
     /// The item.
     pub item: ItemId,
     /// What came of it.
-    pub result: Text,
+    pub result: ItemOutcome,
 }
 
 /// Results of a job from a position on.
@@ -122,7 +122,7 @@
     /// Position behind the last result of the page.
     pub next: usize,
     /// The results.
-    pub results: Vec<Listed>,
+    pub results: Vec<ItemResult>,
 }
 
 /// An answer of the system's own.
--- a/crates/tinbank-gateway/src/border/mod.rs
+++ b/crates/tinbank-gateway/src/border/mod.rs
@@ -18,7 +18,7 @@
 pub type Body = Pin<Box<dyn http_body::Body<Data = Bytes, Error = Aborted>>>;
 
 /// A body that is whole already.
-pub fn whole(bytes: impl Into<Bytes>) -> Body {
+pub fn full_body(bytes: impl Into<Bytes>) -> Body {
     let full = Full::new(bytes.into());
     Box::pin(full.map_err(|never| match never {}))
 }
--- a/crates/tinbank-gateway/src/feed/server.rs
+++ b/crates/tinbank-gateway/src/feed/server.rs
@@ -22,7 +22,7 @@
 use tokio::{net::TcpListener, task, time};
 
 use crate::{
-    border::{Body, store::List, whole},
+    border::{Body, full_body, store::List},
     node::Node,
     serve::accept,
     view::{Mark, View},
@@ -69,10 +69,10 @@
         Err(error) => Err(error),
     };
     Ok(match told {
-        Ok(bytes) => Response::new(whole(bytes)),
+        Ok(bytes) => Response::new(full_body(bytes)),
         Err(error) => {
             log::warn!(error:%; "question of a follower not answered");
-            let mut answer = Response::new(whole(error));
+            let mut answer = Response::new(full_body(error));
             *answer.status_mut() = StatusCode::BAD_REQUEST;
             answer
         }
--- a/crates/tinbank-gateway/src/run.rs
+++ b/crates/tinbank-gateway/src/run.rs
@@ -20,7 +20,7 @@
         engine::Engine,
         ingress::Ingress,
         store::{List, Store},
-        whole,
+        full_body,
     },
     clock::TICK,
     feed, identity,
@@ -89,7 +89,7 @@
     let readiness = bind("readiness checks", listen.readiness).await?;
     if let Some(address) = listen.metrics {
         let listener = bind("metrics", address).await?;
-        let render = move || Response::new(whole(metrics()));
+        let render = move || Response::new(full_body(metrics()));
         task::spawn_local(serve::always(listener, Rc::new(render)));
     }
     let own = Peer {
