--- a/crates/tinbank-gateway/src/batch/large.rs
+++ b/crates/tinbank-gateway/src/batch/large.rs
@@ -13,7 +13,7 @@
 };
 
 use crate::{
-    border::store::{Error, Offset, Place, Range, Topic},
+    border::store::{Error, Offset, TopicPartition, Range, Topic},
     node::Node,
 };
 
@@ -58,8 +58,8 @@
 }
 
 /// The partition that this host writes to. Any would do; one for each host keeps appends few.
-pub(super) fn own_place(node: &Node) -> Place {
-    Place {
+pub(super) fn own_place(node: &Node) -> TopicPartition {
+    TopicPartition {
         topic: Topic::Contents,
         partition: super::partition(&node.settings.host, node.settings.store.partitions),
     }
@@ -98,7 +98,7 @@
     if let Some(bytes) = node.batch.large.kept(&stored) {
         return Ok(bytes);
     }
-    let place = Place {
+    let place = TopicPartition {
         topic: Topic::Contents,
         partition: stored.partition,
     };
@@ -111,7 +111,7 @@
 /// Reads the record that begins at an offset, of about `expected` bytes.
 pub(super) async fn read_whole(
     node: &Node,
-    place: Place,
+    place: TopicPartition,
     offset: Offset,
     expected: usize,
 ) -> Result<Bytes, Error> {
--- a/crates/tinbank-gateway/src/batch/mod.rs
+++ b/crates/tinbank-gateway/src/batch/mod.rs
@@ -21,12 +21,12 @@
 use tokio::sync::{Notify, oneshot};
 
 use crate::{
-    border::store::{Offset, Place, Topic},
+    border::store::{Offset, TopicPartition, Topic},
     node::Node,
 };
 
 /// Where the records of jobs are.
-const JOBS: Place = Place {
+const JOBS: TopicPartition = TopicPartition {
     topic: Topic::Jobs,
     partition: 0,
 };
--- a/crates/tinbank-gateway/src/batch/owner.rs
+++ b/crates/tinbank-gateway/src/batch/owner.rs
@@ -15,7 +15,7 @@
 
 use super::partition;
 use crate::{
-    border::store::{Membership, Place, Topic},
+    border::store::{Membership, TopicPartition, Topic},
     dependency::Dependency,
     node::Node,
 };
@@ -149,7 +149,7 @@
 
 /// Writes a first record, because a topic comes to be with its first record.
 async fn create(node: &Node) {
-    let place = Place {
+    let place = TopicPartition {
         topic: Topic::Owners,
         partition: 0,
     };
--- a/crates/tinbank-gateway/src/border/store.rs
+++ b/crates/tinbank-gateway/src/border/store.rs
@@ -50,7 +50,7 @@
 
 /// A partition of a topic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct TopicPartition {
     /// The topic.
     pub topic: Topic,
     /// The partition.
@@ -101,23 +101,23 @@
 
 /// What an operator or an upstream wrote since a position, decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Written {
+pub enum ListEntry {
     /// The configuration in force.
     Config(Config),
     /// An upstream is listed.
     Upstream(Upstream),
     /// Nothing usable is listed under an upstream's name any more.
-    Gone(tinbank_base::id::Instance),
+    UpstreamRemoved(tinbank_base::id::Instance),
     /// A host of the system is registered.
     Host(Peer),
     /// The first delegate of a failure domain is named.
-    Lead(Lead),
+    FirstDelegate(Lead),
     /// A host of the system has signed off.
-    HostGone(SocketAddr),
+    HostRemoved(SocketAddr),
     /// A request is held back.
-    Held(Held),
+    Quarantined(Held),
     /// A request is not held back any more.
-    Lifted(Fingerprint),
+    QuarantineLifted(Fingerprint),
     /// Nothing new is to be sent to the upstreams of a failure domain.
     Evacuated(tinbank_base::id::FailureDomain),
     /// A failure domain's upstreams take requests again.
@@ -145,7 +145,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Entries {
     /// The entries, oldest first.
-    pub entries: Vec<Written>,
+    pub entries: Vec<ListEntry>,
     /// Position behind them.
     pub end: Offset,
 }
@@ -155,9 +155,9 @@
 
 /// Some of the newest entries of a list.
 #[derive(Clone, Debug, Default)]
-pub struct Newest {
+pub struct NewestPage {
     /// The entries of the page.
-    pub entries: Vec<Written>,
+    pub entries: Vec<ListEntry>,
     /// Position behind all entries that were there when the page was made. Pages are no snapshot.
     pub end: Offset,
     /// Where the next page begins, if there is one.
@@ -168,18 +168,18 @@
 #[async_trait(?Send)]
 pub trait Store {
     /// Appends records to a partition, all or none. Answers the offset of the first.
-    async fn append(&self, at: Place, records: &[Bytes], until: Instant) -> Result<Offset, Error>;
+    async fn append(&self, at: TopicPartition, records: &[Bytes], until: Instant) -> Result<Offset, Error>;
     /// Reads records from an offset on, and waits for the first as long as the range says.
-    async fn read(&self, at: Place, range: Range, until: Instant) -> Result<Page, Error>;
+    async fn read(&self, at: TopicPartition, range: Range, until: Instant) -> Result<Page, Error>;
     /// A page of the newest entries of a list: the first one, or the one at a cursor.
-    async fn newest(
+    async fn read_newest(
         &self,
         list: List,
         at: Option<&Cursor>,
         until: Instant,
-    ) -> Result<Newest, Error>;
+    ) -> Result<NewestPage, Error>;
     /// What was written to a list since a position; waits up to `wait_ms` for it.
-    async fn since(
+    async fn read_since(
         &self,
         list: List,
         from: Offset,
@@ -191,11 +191,11 @@
     /// Takes a host of the system off the list.
     async fn unregister(&self, host: &Peer, until: Instant) -> Result<(), Error>;
     /// Names the first delegate of a failure domain.
-    async fn name_lead(&self, lead: &Lead, until: Instant) -> Result<(), Error>;
+    async fn set_first_delegate(&self, lead: &Lead, until: Instant) -> Result<(), Error>;
     /// Enters a request that is held back.
-    async fn hold(&self, held: &Held, until: Instant) -> Result<(), Error>;
+    async fn quarantine(&self, held: &Held, until: Instant) -> Result<(), Error>;
     /// Takes a request off those that are held back.
-    async fn lift(&self, request: Fingerprint, until: Instant) -> Result<(), Error>;
+    async fn lift_quarantine(&self, request: Fingerprint, until: Instant) -> Result<(), Error>;
     /// Joins a group, or stays in it.
     async fn join(&self, membership: &Membership, until: Instant) -> Result<Assignment, Error>;
     /// Leaves a group, so that others get the member's partitions at once.
--- a/crates/tinbank-gateway/src/feed/introduction.rs
+++ b/crates/tinbank-gateway/src/feed/introduction.rs
@@ -18,7 +18,7 @@
 
 use super::follower::exchange;
 use crate::{
-    border::store::{Error, List, Written},
+    border::store::{Error, List, ListEntry},
     node::Node,
     view,
 };
@@ -70,10 +70,10 @@
 
 async fn leads(node: &Node) -> Result<Vec<Lead>, Error> {
     let until = Instant::now() + CALL_TIMEOUT;
-    let page = node.store.newest(List::Leads, None, until).await?;
+    let page = node.store.read_newest(List::Leads, None, until).await?;
     let leads = page.entries.into_iter();
     let leads = leads.filter_map(|written| match written {
-        Written::Lead(lead) => Some(lead),
+        ListEntry::FirstDelegate(lead) => Some(lead),
         _ => None,
     });
     Ok(leads.collect())
@@ -101,7 +101,7 @@
         address: node.sharing.own().address,
     };
     let until = Instant::now() + CALL_TIMEOUT;
-    match node.store.name_lead(&lead, until).await {
+    match node.store.set_first_delegate(&lead, until).await {
         Ok(()) => {
             log::info!(failure_domain:% = lead.failure_domain; "named as the first delegate");
             true
--- a/crates/tinbank-gateway/src/quarantine/mod.rs
+++ b/crates/tinbank-gateway/src/quarantine/mod.rs
@@ -18,7 +18,7 @@
 
 pub(crate) use self::{look::broken, record::keep, tell::tell};
 use crate::{
-    border::{engine::Request, store::Written},
+    border::{engine::Request, store::ListEntry},
     node::Node,
 };
 
@@ -55,11 +55,11 @@
     }
 
     /// Takes in what was read from the store. True if there was anything.
-    pub fn read(&self, entries: Vec<Written>, is_whole: bool, now: Instant) -> bool {
+    pub fn read(&self, entries: Vec<ListEntry>, is_whole: bool, now: Instant) -> bool {
         let is_news = is_whole || !entries.is_empty();
         if is_whole {
             let listed = entries.into_iter().filter_map(|written| match written {
-                Written::Held(held) => Some(held),
+                ListEntry::Quarantined(held) => Some(held),
                 _ => None,
             });
             self.read_all(&listed.collect::<Vec<Held>>(), now);
@@ -67,11 +67,11 @@
         }
         for written in entries {
             match written {
-                Written::Held(held) => {
+                ListEntry::Quarantined(held) => {
                     let change = self.table.borrow_mut().list(held, now);
                     self.note(change, "the store");
                 }
-                Written::Lifted(request) => self.table.borrow_mut().unlist(request),
+                ListEntry::QuarantineLifted(request) => self.table.borrow_mut().unlist(request),
                 _ => {}
             }
         }
--- a/crates/tinbank-gateway/src/quarantine/record.rs
+++ b/crates/tinbank-gateway/src/quarantine/record.rs
@@ -37,8 +37,8 @@
 async fn keep_one(node: &Node, write: Write) {
     let until = Instant::now() + WRITE_TIMEOUT;
     let written = match write {
-        Write::Hold(held) => node.store.hold(&held, until).await,
-        Write::Lift(request) => node.store.lift(request, until).await,
+        Write::Hold(held) => node.store.quarantine(&held, until).await,
+        Write::Lift(request) => node.store.lift_quarantine(request, until).await,
     };
     let (request, held) = match write {
         Write::Hold(held) => (held.request, true),
--- a/crates/tinbank-gateway/src/view/entries.rs
+++ b/crates/tinbank-gateway/src/view/entries.rs
@@ -10,7 +10,7 @@
 
 use super::View;
 use crate::{
-    border::store::{Entries, List, Offset, Written},
+    border::store::{Entries, List, Offset, ListEntry},
     measure,
     node::Node,
 };
@@ -71,13 +71,13 @@
     let orders = read.entries.iter();
     let changes = match whole {
         true => evacuations.replace(orders.filter_map(|written| match written {
-            Written::Evacuated(domain) => Some(domain.clone()),
+            ListEntry::Evacuated(domain) => Some(domain.clone()),
             _ => None,
         })),
         false => orders
             .filter_map(|written| match written {
-                Written::Evacuated(domain) => evacuations.add(domain.clone()),
-                Written::Reinstated(domain) => evacuations.remove(domain.clone()),
+                ListEntry::Evacuated(domain) => evacuations.add(domain.clone()),
+                ListEntry::Reinstated(domain) => evacuations.remove(domain.clone()),
                 _ => None,
             })
             .collect(),
@@ -123,7 +123,7 @@
     let mut changes: Changes = match whole {
         true => {
             let listed = entries.filter_map(|written| match written {
-                Written::Upstream(upstream) if is_wanted(&upstream) => Some(upstream),
+                ListEntry::Upstream(upstream) if is_wanted(&upstream) => Some(upstream),
                 _ => None,
             });
             let changes = listing.replace(listed.collect(), now);
@@ -134,8 +134,8 @@
         }
         false => entries
             .flat_map(|written| match written {
-                Written::Upstream(upstream) if is_wanted(&upstream) => listing.add(upstream),
-                Written::Gone(name) => listing.remove(&name, now).into_iter().collect(),
+                ListEntry::Upstream(upstream) if is_wanted(&upstream) => listing.add(upstream),
+                ListEntry::UpstreamRemoved(name) => listing.remove(&name, now).into_iter().collect(),
                 _ => Changes::new(),
             })
             .collect(),
@@ -158,7 +158,7 @@
 
 /// Takes in a page of the upstreams. A host that starts deals out those that it knows while it reads on: the list of a whole fleet
 /// has many pages, and the upstreams of one page have room for what comes meanwhile.
-pub(super) fn take_page(node: &Node, page: Vec<Written>) {
+pub(super) fn take_page(node: &Node, page: Vec<ListEntry>) {
     let view = &node.view;
     if view.lists.of(List::Upstreams).position().is_some() {
         return;
@@ -167,7 +167,7 @@
     let own = &node.settings.failure_domain;
     let mut listing = view.upstreams.borrow_mut();
     for written in page {
-        if let Written::Upstream(upstream) = written
+        if let ListEntry::Upstream(upstream) = written
             && (!is_narrow || upstream.failure_domain == *own)
         {
             listing.add(upstream).iter().for_each(log_change);
@@ -208,12 +208,12 @@
     let mut changed = whole;
     for written in read.entries {
         let address = match written {
-            Written::Host(peer) => {
+            ListEntry::Host(peer) => {
                 let address = peer.address;
                 let before = peers.insert(address, peer.clone());
                 (before != Some(peer)).then_some(address)
             }
-            Written::HostGone(address) => peers.remove(&address).map(|it| it.address),
+            ListEntry::HostRemoved(address) => peers.remove(&address).map(|it| it.address),
             _ => None,
         };
         if let Some(address) = address {
@@ -242,9 +242,9 @@
 }
 
 /// Takes in a configuration, if it is a later one.
-pub(super) fn take_config(node: &Node, written: Written) {
+pub(super) fn take_config(node: &Node, written: ListEntry) {
     let view = &node.view;
-    let Written::Config(config) = written else {
+    let ListEntry::Config(config) = written else {
         return;
     };
     let before = view.config();
--- a/crates/tinbank-gateway/src/view/pages.rs
+++ b/crates/tinbank-gateway/src/view/pages.rs
@@ -3,14 +3,14 @@
 use std::time::{Duration, Instant};
 
 use crate::{
-    border::store::{Cursor, Entries, Error, List, Offset, Written},
+    border::store::{Cursor, Entries, Error, List, Offset, ListEntry},
     node::Node,
 };
 
 /// Pages of a list that is being read whole. They are kept if a later one does not come.
 #[derive(Default)]
 pub(super) struct Pages {
-    entries: Vec<Written>,
+    entries: Vec<ListEntry>,
     /// Position behind the first page. The pages are no snapshot: what changed since is read again from here.
     end: Option<Offset>,
     next: Option<Cursor>,
@@ -19,7 +19,7 @@
 /// What one call read.
 pub(super) enum Read {
     /// A page of the whole list, and there are more.
-    Part(Vec<Written>),
+    Part(Vec<ListEntry>),
     /// The whole list.
     Whole(Entries),
     /// What was written since a position.
@@ -40,13 +40,13 @@
     let wait = node.view.wait(list, now);
     let until = now + wait + patience;
     let wait_ms = wait.as_millis() as u64;
-    let entries = node.store.since(list, from, wait_ms, until).await?;
+    let entries = node.store.read_since(list, from, wait_ms, until).await?;
     Ok(Read::Since(entries))
 }
 
 impl Pages {
     async fn read(&mut self, node: &Node, list: List, until: Instant) -> Result<Read, Error> {
-        let page = node.store.newest(list, self.next.as_ref(), until).await?;
+        let page = node.store.read_newest(list, self.next.as_ref(), until).await?;
         let end = *self.end.get_or_insert(page.end);
         self.next = page.next;
         if self.next.is_some() {
--- a/crates/tinbank-gateway/src/view/told.rs
+++ b/crates/tinbank-gateway/src/view/told.rs
@@ -16,7 +16,7 @@
     mark::Mark,
 };
 use crate::{
-    border::store::{List, Written},
+    border::store::{List, ListEntry},
     node::Node,
 };
 
@@ -30,7 +30,7 @@
         note_evacuations(node, &changes);
     }
     if let Some(config) = update.config {
-        take_config(node, Written::Config(config));
+        take_config(node, ListEntry::Config(config));
     }
     let mut upstreams_changed = false;
     if let Some(part) = newer(view.lists.of(List::Upstreams), update.upstreams) {
--- a/crates/tinbank-gateway/src/watch.rs
+++ b/crates/tinbank-gateway/src/watch.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     border::store::{
-        Assignment, Cursor, Entries, Error, List, Membership, Newest, Offset, Page, Place, Range,
+        Assignment, Cursor, Entries, Error, List, Membership, NewestPage, Offset, Page, TopicPartition, Range,
         Store,
     },
     clock::Clock,
@@ -129,31 +129,31 @@
 
 #[async_trait(?Send)]
 impl Store for Watched {
-    async fn append(&self, at: Place, records: &[Bytes], until: Instant) -> Result<Offset, Error> {
+    async fn append(&self, at: TopicPartition, records: &[Bytes], until: Instant) -> Result<Offset, Error> {
         self.call(self.store.append(at, records, until)).await
     }
 
-    async fn read(&self, at: Place, range: Range, until: Instant) -> Result<Page, Error> {
+    async fn read(&self, at: TopicPartition, range: Range, until: Instant) -> Result<Page, Error> {
         self.read_call(self.store.read(at, range, until)).await
     }
 
-    async fn newest(
+    async fn read_newest(
         &self,
         list: List,
         at: Option<&Cursor>,
         until: Instant,
-    ) -> Result<Newest, Error> {
-        self.read_call(self.store.newest(list, at, until)).await
+    ) -> Result<NewestPage, Error> {
+        self.read_call(self.store.read_newest(list, at, until)).await
     }
 
-    async fn since(
+    async fn read_since(
         &self,
         list: List,
         from: Offset,
         wait_ms: u64,
         until: Instant,
     ) -> Result<Entries, Error> {
-        let call = self.store.since(list, from, wait_ms, until);
+        let call = self.store.read_since(list, from, wait_ms, until);
         self.read_call(call).await
     }
 
@@ -165,16 +165,16 @@
         self.call(self.store.unregister(host, until)).await
     }
 
-    async fn name_lead(&self, lead: &Lead, until: Instant) -> Result<(), Error> {
-        self.call(self.store.name_lead(lead, until)).await
+    async fn set_first_delegate(&self, lead: &Lead, until: Instant) -> Result<(), Error> {
+        self.call(self.store.set_first_delegate(lead, until)).await
     }
 
-    async fn hold(&self, held: &Held, until: Instant) -> Result<(), Error> {
-        self.call(self.store.hold(held, until)).await
+    async fn quarantine(&self, held: &Held, until: Instant) -> Result<(), Error> {
+        self.call(self.store.quarantine(held, until)).await
     }
 
-    async fn lift(&self, request: Fingerprint, until: Instant) -> Result<(), Error> {
-        self.call(self.store.lift(request, until)).await
+    async fn lift_quarantine(&self, request: Fingerprint, until: Instant) -> Result<(), Error> {
+        self.call(self.store.lift_quarantine(request, until)).await
     }
 
     async fn join(&self, membership: &Membership, until: Instant) -> Result<Assignment, Error> {
