--- a/crates/tinbank-gateway/src/batch/follower.rs
+++ b/crates/tinbank-gateway/src/batch/follower.rs
@@ -77,7 +77,7 @@
         }
         if pruned_at.elapsed() > PRUNE {
             pruned_at = Instant::now();
-            let kept = node.settings.job_readable + KEPT_MARGIN;
+            let kept = node.settings.job_retention + KEPT_MARGIN;
             let mut table = node.batch.table.borrow_mut();
             table.prune(kept, SystemTime::now());
             node.batch.contents.retain(|id| {
--- a/crates/tinbank-gateway/src/batch/owner.rs
+++ b/crates/tinbank-gateway/src/batch/owner.rs
@@ -74,7 +74,7 @@
 
 /// The time for which a member may stay silent.
 fn ttl(node: &Node) -> Duration {
-    TTL.max(node.settings.store.least_member_ttl)
+    TTL.max(node.settings.store.min_member_ttl)
 }
 
 /// Stays in the group for as long as it is polled, and until the process leaves it.
--- a/crates/tinbank-gateway/src/settings.rs
+++ b/crates/tinbank-gateway/src/settings.rs
@@ -33,14 +33,14 @@
     /// yet, in seconds. Source: two readiness checks of the balancer, a second apart, and their answers.
     #[serde_as(as = "DurationSeconds<f64>")]
     #[serde(rename = "balancer_s")]
-    pub balancer: Duration,
+    pub balancer_delay: Duration,
     /// How exactly limits of customers hold; without it, as exactly as hosts know of each other's counts.
     #[serde(default)]
     pub allowance: Tolerance,
     /// For how long a job is readable after its submission, in seconds.
     #[serde_as(as = "DurationSeconds<f64>")]
     #[serde(rename = "job_readable_s")]
-    pub job_readable: Duration,
+    pub job_retention: Duration,
 }
 
 /// What a host has, in the units of its settings.
@@ -98,5 +98,5 @@
     /// Shortest time after which a silent member of a group loses its partitions, in milliseconds.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "least_member_ttl_ms")]
-    pub least_member_ttl: Duration,
+    pub min_member_ttl: Duration,
 }
--- a/crates/tinbank-gateway/src/stop.rs
+++ b/crates/tinbank-gateway/src/stop.rs
@@ -62,7 +62,7 @@
     node.stop.asked_at.set(Some(now));
     log::info!(busy = node.stop.busy.get(); "stop asked, not ready from now on");
     let end = kill_at - MARGIN;
-    let balanced = now + node.settings.balancer;
+    let balanced = now + node.settings.balancer_delay;
     time::sleep_until(balanced.min(end).into()).await;
     node.stop.closing.set(true);
     node.stop.changed.notify_waiters();
