--- a/crates/tinbank-gateway/src/batch/follower.rs
+++ b/crates/tinbank-gateway/src/batch/follower.rs
@@ -50,7 +50,7 @@
         match next_page(&node, from, patience.duration()).await {
             Ok(page) => {
                 patience.on_response();
-                log_of_jobs.reached();
+                log_of_jobs.record_success();
                 let news = !page.records.is_empty();
                 let end = page.end;
                 take_in(&node, &mut joiner, from, page);
@@ -68,16 +68,16 @@
                 node.batch.next.set(first);
             }
             Err(error) => {
-                log_of_jobs.failed(&error);
+                log_of_jobs.record_failure(&error);
                 if matches!(error, Error::Unknown(_)) {
                     patience.on_timeout();
                 }
-                node.retry.pause().await;
+                node.retry.backoff().await;
             }
         }
         if pruned_at.elapsed() > PRUNE {
             pruned_at = Instant::now();
-            let kept = node.settings.job_readable + KEPT_MARGIN;
+            let kept = node.settings.job_retention + KEPT_MARGIN;
             let mut table = node.batch.table.borrow_mut();
             table.prune(kept, SystemTime::now());
             node.batch.contents.retain(|id| {
--- a/crates/tinbank-gateway/src/batch/owner.rs
+++ b/crates/tinbank-gateway/src/batch/owner.rs
@@ -15,7 +15,7 @@
 
 use super::partition;
 use crate::{
-    border::store::{Membership, Place, Topic},
+    border::store::{Membership, TopicPartition, Topic},
     dependency::Dependency,
     node::Node,
 };
@@ -74,7 +74,7 @@
 
 /// The time for which a member may stay silent.
 fn ttl(node: &Node) -> Duration {
-    TTL.max(node.settings.store.least_member_ttl)
+    TTL.max(node.settings.store.min_member_ttl)
 }
 
 /// Stays in the group for as long as it is polled, and until the process leaves it.
@@ -86,13 +86,13 @@
         let mut pause = ttl(&node) / JOINS_PER_TTL;
         match join(&node).await {
             Ok(lost) => {
-                group.reached();
+                group.record_success();
                 if hand_over(&node, &lost) {
                     pause = WRITE_TIME;
                 }
             }
             Err(error) => {
-                group.failed(&error);
+                group.record_failure(&error);
                 leave_to_others(&node);
             }
         }
@@ -149,7 +149,7 @@
 
 /// Writes a first record, because a topic comes to be with its first record.
 async fn create(node: &Node) {
-    let place = Place {
+    let place = TopicPartition {
         topic: Topic::Owners,
         partition: 0,
     };
@@ -160,7 +160,7 @@
             Ok(_) => return,
             Err(error) => log::info!(error:%; "topic of the group not created yet"),
         }
-        node.retry.pause().await;
+        node.retry.backoff().await;
     }
 }
 
--- a/crates/tinbank-gateway/src/batch/runner.rs
+++ b/crates/tinbank-gateway/src/batch/runner.rs
@@ -76,7 +76,7 @@
 
 impl Default for Runner {
     fn default() -> Self {
-        let first_run = identity::number() / RUNS * RUNS;
+        let first_run = identity::random_id() / RUNS * RUNS;
         Self {
             running: RefCell::default(),
             paused: RefCell::default(),
@@ -180,7 +180,7 @@
 /// Runs items for as long as it is polled.
 pub(super) async fn run(node: Rc<Node>) {
     loop {
-        let pauses = node.notice_pause();
+        let pauses = node.check_for_pause();
         let Some(candidate) = next::next(&node) else {
             time::sleep(PAUSE).await;
             continue;
@@ -197,7 +197,7 @@
             time::sleep(PAUSE).await;
             continue;
         };
-        if node.notice_pause() != pauses {
+        if node.check_for_pause() != pauses {
             // The item may be another host's by now.
             continue;
         }
@@ -240,7 +240,7 @@
         None if has_customers => Sender::Anonymous,
         None => Sender::Unchecked,
     };
-    let request = node.engine.item(engine::Item {
+    let request = node.engine.item_request(engine::Item {
         host: &job.host,
         sender,
         id: &item.id,
@@ -308,7 +308,7 @@
         }
         drop(pace);
         log::info!(job:% = self.key.0, item = self.key.1, upstream:%, run = number, last, ended:?; "item left its upstream");
-        measure::item_left(ended.name());
+        measure::record_item_run(ended.name());
         match ended {
             Ended::Completed => {
                 let (piece, data) = progress.piece();
--- a/crates/tinbank-gateway/src/dependency.rs
+++ b/crates/tinbank-gateway/src/dependency.rs
@@ -21,22 +21,22 @@
     }
 
     /// It has answered.
-    pub fn reached(&mut self) {
+    pub fn record_success(&mut self) {
         let Some(lost_at) = self.lost_at.take() else {
             return;
         };
-        measure::store(self.name, true);
+        measure::set_store_reachable(self.name, true);
         let lost_ms = lost_at.elapsed().as_millis() as u64;
         log::info!(dependency = self.name, lost_ms; "dependency regained");
     }
 
     /// It has not answered, or with an error.
-    pub fn failed(&mut self, error: &dyn Display) {
+    pub fn record_failure(&mut self, error: &dyn Display) {
         if self.lost_at.is_some() {
             return;
         }
         self.lost_at = Some(Instant::now());
-        measure::store(self.name, false);
+        measure::set_store_reachable(self.name, false);
         log::warn!(dependency = self.name, error:%; "dependency lost");
     }
 }
--- a/crates/tinbank-gateway/src/quarantine/record.rs
+++ b/crates/tinbank-gateway/src/quarantine/record.rs
@@ -24,7 +24,7 @@
         let _ = time::timeout(ROUND, node.quarantine.changed.notified()).await;
         let now = Instant::now();
         let writes = node.quarantine.table.borrow_mut().writes(now);
-        measure::held_back(node.quarantine.table.borrow().held());
+        measure::set_quarantined_requests(node.quarantine.table.borrow().held());
         if !node.sharing.is_allocator(now) {
             continue;
         }
@@ -37,8 +37,8 @@
 async fn keep_one(node: &Node, write: Write) {
     let until = Instant::now() + WRITE_TIMEOUT;
     let written = match write {
-        Write::Hold(held) => node.store.hold(&held, until).await,
-        Write::Lift(request) => node.store.lift(request, until).await,
+        Write::Hold(held) => node.store.quarantine(&held, until).await,
+        Write::Lift(request) => node.store.lift_quarantine(request, until).await,
     };
     let (request, held) = match write {
         Write::Hold(held) => (held.request, true),
@@ -51,7 +51,7 @@
         }
         Err(error) => {
             log::info!(content:% = short(request), held, error:%; "request held back, not written to the store yet");
-            node.retry.pause().await;
+            node.retry.backoff().await;
         }
     }
 }
--- a/crates/tinbank-gateway/src/relay/attempt.rs
+++ b/crates/tinbank-gateway/src/relay/attempt.rs
@@ -14,7 +14,7 @@
 use super::answer::{AnswerBody, Witness};
 use crate::{
     border::engine::{Attempt, Request, Verdict},
-    exchange::{self, Error, Guard, Until},
+    exchange::{self, Error, ConnectionGuard, Deadlines},
     measure,
     node::Node,
     sharing::Lease,
@@ -42,7 +42,7 @@
     pub lease: Lease,
     pub head: Parts,
     pub body: AnswerBody,
-    pub guard: Guard,
+    pub guard: ConnectionGuard,
     pub verdict: Verdict,
 }
 
@@ -70,9 +70,9 @@
     let sent = exchange::send(
         lease.address,
         node.engine.encode(request, attempt),
-        Until {
-            connected: now + CONNECT_TIMEOUT.max(lease.patience()),
-            answered: until,
+        Deadlines {
+            connect: now + CONNECT_TIMEOUT.max(lease.patience()),
+            response: until,
         },
     );
     let sent = sent.await;
@@ -94,9 +94,9 @@
     };
     let (head, body) = answer.into_parts();
     let body = AnswerBody::new(body, witness);
-    let verdict = node.engine.judge(request, &head);
+    let verdict = node.engine.classify(request, &head);
     match verdict {
-        Verdict::Answer | Verdict::Failed | Verdict::Impossible => Ok(StartedAnswer {
+        Verdict::Answer | Verdict::Failed | Verdict::Unprocessable => Ok(StartedAnswer {
             lease,
             head,
             body,
@@ -121,7 +121,7 @@
 fn held_back(request: &Request, lease: &Lease) -> Trouble {
     let content = short(request.fingerprint());
     log::info!(request:% = request.id, content:%, upstream:% = lease.upstream; "request not sent, upstreams end under it");
-    measure::attempt_failed("held_back");
+    measure::record_failed_attempt("held_back");
     Trouble::HeldBack
 }
 
@@ -135,7 +135,7 @@
 ) -> Trouble {
     let status = head.status.as_u16();
     log::info!(request:% = request.id, upstream:% = lease.upstream, status, why; "attempt refused");
-    measure::attempt_failed(why);
+    measure::record_failed_attempt(why);
     lease.set_outcome(match trouble {
         Trouble::NotRun | Trouble::HeldBack => Outcome::Refused,
         Trouble::Lost | Trouble::Silent => Outcome::Failed,
@@ -145,15 +145,15 @@
 
 fn failed(request: &Request, lease: &Lease, error: Error) -> Trouble {
     log::info!(request:% = request.id, upstream:% = lease.upstream, error:%; "attempt without an answer");
-    measure::attempt_failed(match error {
+    measure::record_failed_attempt(match error {
         Error::NotSent(_) => "not_sent",
         Error::Lost(_) => "lost",
-        Error::Silent => "silent",
+        Error::Timeout => "silent",
     });
     let (trouble, outcome) = match error {
         Error::NotSent(_) => (Trouble::NotRun, Outcome::Unresponsive),
         Error::Lost(_) => (Trouble::Lost, Outcome::Failed),
-        Error::Silent => (Trouble::Silent, Outcome::Unresponsive),
+        Error::Timeout => (Trouble::Silent, Outcome::Unresponsive),
     };
     lease.set_outcome(outcome);
     trouble
--- a/crates/tinbank-gateway/src/relay/body.rs
+++ b/crates/tinbank-gateway/src/relay/body.rs
@@ -14,9 +14,9 @@
 use super::answer::AnswerBody;
 use crate::{
     border::{Aborted, Body},
-    exchange::Guard,
+    exchange::ConnectionGuard,
     sharing::Lease,
-    stop::Work,
+    stop::WorkGuard,
 };
 
 /// A body that keeps a value until it is dropped.
@@ -46,7 +46,7 @@
 }
 
 /// A body that counts as work in progress until it ends.
-pub(crate) fn with_work_guard(body: Body, work: Work) -> Body {
+pub(crate) fn with_work_guard(body: Body, work: WorkGuard) -> Body {
     Box::pin(Held { body, _value: work })
 }
 
@@ -54,7 +54,7 @@
 pub(crate) fn relayed(
     body: AnswerBody,
     lease: Lease,
-    guard: Guard,
+    guard: ConnectionGuard,
     whole: Outcome,
     deadline: Instant,
 ) -> Body {
@@ -74,7 +74,7 @@
     lease: Lease,
     whole: Outcome,
     deadline: Pin<Box<Sleep>>,
-    _guard: Guard,
+    _guard: ConnectionGuard,
 }
 
 impl Timed {
--- a/crates/tinbank-gateway/src/relay/mod.rs
+++ b/crates/tinbank-gateway/src/relay/mod.rs
@@ -23,7 +23,7 @@
 pub(crate) use self::body::with_work_guard;
 use self::online::{Arrival, Online};
 use crate::{
-    access::{self, Denied},
+    access::{self, AuthError},
     batch::{
         self,
         forward::{Forwarded, forward},
@@ -32,7 +32,7 @@
         Body,
         ingress::{self, Reply},
     },
-    clock::Moment,
+    clock::ClockReading,
     measure,
     node::Node,
 };
@@ -52,19 +52,19 @@
     head: Parts,
     body: Incoming,
 ) -> Response<Body> {
-    node.notice_pause();
-    let at = Moment::read();
-    let received = at.steady;
+    node.check_for_pause();
+    let at = ClockReading::read();
+    let received = at.monotonic;
     let Some(config) = node.view.wait_for_config(received + FIRST_READ).await else {
         return refuse(node, &call.id, "no configuration known yet");
     };
     let Some(route) = config.route(&call.host, &call.path).cloned() else {
         return no_route(node, &call, config.version, received);
     };
-    let caller = match access::caller(node, &config, &call.id, call.key.as_ref(), route.is_open) {
+    let caller = match access::authenticate(node, &config, &call.id, call.key.as_ref(), route.is_open) {
         Ok(caller) => caller,
-        Err(Denied::NoKey) => return reply_with(node, Reply::NoKey),
-        Err(Denied::Unsure) => {
+        Err(AuthError::Unauthorized) => return reply_with(node, Reply::NoKey),
+        Err(AuthError::StaleConfig) => {
             return refuse(node, &call.id, "key not in a configuration that may be old");
         }
     };
@@ -77,7 +77,7 @@
     if route.kind == Kind::Batch {
         return submit(node, &route, &caller, &call, &head, body, deadline).await;
     }
-    let request = node.engine.relayed(&call.id, (&caller).into(), &head, body);
+    let request = node.engine.relayed_request(&call.id, (&caller).into(), &head, body);
     let request = Rc::new(request);
     let arrival = Arrival {
         at,
@@ -156,7 +156,7 @@
 }
 
 fn reply_with(node: &Node, reply: Reply) -> Response<Body> {
-    measure::replied(&reply);
+    measure::record_reply(&reply);
     node.ingress.encode(reply)
 }
 
--- a/crates/tinbank-gateway/src/relay/online.rs
+++ b/crates/tinbank-gateway/src/relay/online.rs
@@ -31,7 +31,7 @@
         engine::{self, Verdict},
         ingress::Reply,
     },
-    clock::Moment,
+    clock::ClockReading,
     measure,
     node::Node,
     sharing::{Allocation, Lease, SlotRequest},
@@ -48,7 +48,7 @@
     pub attempts: Attempts,
     admission: Admission,
     /// Until then its times are counted by both clocks.
-    counted_at: Moment,
+    counted_at: ClockReading,
     /// When it was sent to the upstream that has it, if it did not have to wait inside it.
     began_at: Option<Instant>,
     /// Event behind which the caller goes on, if it had a part of the answer before.
@@ -80,7 +80,7 @@
 
 /// When and with what a request came.
 pub(super) struct Arrival {
-    pub at: Moment,
+    pub at: ClockReading,
     pub deadline: Instant,
     /// The caller has not come before.
     pub is_first: bool,
@@ -102,7 +102,7 @@
         arrival: Arrival,
     ) -> Self {
         let admission = Admission {
-            received: arrival.at.steady,
+            received: arrival.at.monotonic,
             deadline: arrival.deadline,
             target: route.target_latency,
             is_retry: !arrival.is_first,
@@ -139,7 +139,7 @@
                 Err(next) => return self.give_up(next),
             };
             match opened.verdict {
-                Verdict::Failed | Verdict::Impossible if self.is_worth_another(&opened) => {
+                Verdict::Failed | Verdict::Unprocessable if self.is_worth_another(&opened) => {
                     opened.lease.set_outcome(Outcome::Failed);
                 }
                 _ => return self.answer(opened, resume_after),
@@ -175,12 +175,12 @@
         if self.held_until.is_some() {
             return Err(self.attempts.give_up());
         }
-        let Some(service) = self.route.service(self.node.draw()).cloned() else {
+        let Some(service) = self.route.service(self.node.next_draw()).cloned() else {
             return Err(self.attempts.give_up());
         };
-        let pauses = self.node.notice_pause();
+        let pauses = self.node.check_for_pause();
         let lease = self.lease(&service).await?;
-        if self.node.notice_pause() != pauses {
+        if self.node.check_for_pause() != pauses {
             // Its slot may be another one's by now, and its time may be over.
             return Ok(None);
         }
@@ -208,7 +208,7 @@
     /// Takes time off that has passed while the host was suspended, which the steady clock has not counted. Otherwise an
     /// upstream would work on for as long after its caller has left.
     fn count_suspended(&mut self) {
-        let now = Moment::read();
+        let now = ClockReading::read();
         let suspended = now.suspended_since(self.counted_at);
         self.counted_at = now;
         let earlier = |at: Instant| at.checked_sub(suspended).unwrap_or(at);
@@ -277,14 +277,14 @@
     /// The first event of the answer has come.
     pub fn note_first_event(&self) {
         if let Some(at) = self.began_at {
-            self.node.note_first_event(&self.route, at.elapsed());
+            self.node.record_first_event(&self.route, at.elapsed());
         }
     }
 
     /// The answer has come whole.
     pub fn note_served(&self) {
         if let Some(at) = self.began_at {
-            self.node.note_held(&self.route, at.elapsed());
+            self.node.record_hold_time(&self.route, at.elapsed());
         }
     }
 
@@ -318,7 +318,7 @@
 
     /// Notes an upstream's own failure. True if the request may be sent to another one.
     fn is_worth_another(&mut self, opened: &StartedAnswer) -> bool {
-        if opened.verdict == Verdict::Impossible {
+        if opened.verdict == Verdict::Unprocessable {
             return false;
         }
         self.attempts
@@ -334,9 +334,9 @@
             guard,
             verdict,
         } = opened;
-        measure::began(self.admission.received.elapsed());
+        measure::record_response_start(self.admission.received.elapsed());
         let node = Rc::clone(&self.node);
-        let passed = self.node.engine.pass_on(head);
+        let passed = self.node.engine.caller_response(head);
         let is_stream =
             verdict == Verdict::Answer && matches!(self.route.kind, Kind::Stream { .. });
         let body: Body = match is_stream {
@@ -382,7 +382,7 @@
             Next::Refuse | Next::Again if self.overloaded => {
                 let usual = self.node.usual(&self.route);
                 Reply::NotRun {
-                    retry_after: self.admission.retry_after(usual, self.node.draw()),
+                    retry_after: self.admission.retry_after(usual, self.node.next_draw()),
                 }
             }
             Next::Refuse | Next::Again => Reply::NotRun {
--- a/crates/tinbank-gateway/src/relay/stream.rs
+++ b/crates/tinbank-gateway/src/relay/stream.rs
@@ -17,7 +17,7 @@
 use super::{answer::AnswerBody, online::Online};
 use crate::{
     border::{Aborted, Body, engine::Verdict},
-    exchange::Guard,
+    exchange::ConnectionGuard,
     measure,
     sharing::Lease,
 };
@@ -37,7 +37,7 @@
 struct Source {
     lease: Lease,
     body: AnswerBody,
-    _guard: Guard,
+    _guard: ConnectionGuard,
 }
 
 /// What came from the upstream.
@@ -52,7 +52,7 @@
     pub fn new(
         relay: Online,
         lease: Lease,
-        guard: Guard,
+        guard: ConnectionGuard,
         body: AnswerBody,
         resume_after: Option<event::Id>,
     ) -> Self {
@@ -161,7 +161,7 @@
         let resumable = self.is_resumable();
         let from = self.source.as_ref().map(|it| it.lease.upstream.clone());
         self.end(outcome);
-        measure::broke(resumable);
+        measure::record_broken_stream(resumable);
         let id = &self.relay.request.id;
         let upstream = from.as_deref().unwrap_or_default();
         let after = self.last.unwrap_or(0);
--- a/crates/tinbank-gateway/src/stop.rs
+++ b/crates/tinbank-gateway/src/stop.rs
@@ -25,9 +25,9 @@
 }
 
 /// Work that a stop waits for. It ends when it is dropped.
-pub(crate) struct Work(Rc<Node>);
+pub(crate) struct WorkGuard(Rc<Node>);
 
-impl Drop for Work {
+impl Drop for WorkGuard {
     fn drop(&mut self) {
         let busy = &self.0.stop.busy;
         busy.set(busy.get() - 1);
@@ -49,10 +49,10 @@
 }
 
 /// Marks work that a stop waits for.
-pub(crate) fn work(node: &Rc<Node>) -> Work {
+pub(crate) fn work(node: &Rc<Node>) -> WorkGuard {
     let busy = &node.stop.busy;
     busy.set(busy.get() + 1);
-    Work(Rc::clone(node))
+    WorkGuard(Rc::clone(node))
 }
 
 /// Stops the process: it takes requests until the balancer knows, finishes them, and returns.
@@ -62,7 +62,7 @@
     node.stop.asked_at.set(Some(now));
     log::info!(busy = node.stop.busy.get(); "stop asked, not ready from now on");
     let end = kill_at - MARGIN;
-    let balanced = now + node.settings.balancer;
+    let balanced = now + node.settings.balancer_delay;
     time::sleep_until(balanced.min(end).into()).await;
     node.stop.closing.set(true);
     node.stop.changed.notify_waiters();
--- a/crates/tinbank-gateway/src/view/lists.rs
+++ b/crates/tinbank-gateway/src/view/lists.rs
@@ -47,7 +47,7 @@
             }
             Ok(Read::Since(entries)) => {
                 patience.on_response();
-                dependency.reached();
+                dependency.record_success();
                 let news = !entries.entries.is_empty();
                 take_in(&node, list, entries, false);
                 if news {
@@ -56,7 +56,7 @@
             }
             Ok(Read::Whole(entries)) => {
                 patience.on_response();
-                dependency.reached();
+                dependency.record_success();
                 take_in(&node, list, entries, true);
                 time::sleep(REST).await;
             }
@@ -68,8 +68,8 @@
                     patience.on_timeout();
                 }
                 // What is known stays in force.
-                dependency.failed(&error);
-                node.retry.pause().await;
+                dependency.record_failure(&error);
+                node.retry.backoff().await;
             }
         }
     }
