--- a/crates/tinbank-allocator/src/admission.rs
+++ b/crates/tinbank-allocator/src/admission.rs
@@ -1,87 +1,88 @@
-//! How long an online request may wait for a slot while all are in use, and when its caller is told to come back.
+//! How long an online request may wait for a slot while all are in use, and when its caller should retry.
 //!
-//! It answers a load that is more than the upstreams can carry, for seconds: bursts, upstreams that are lost, callers that
-//! all come back after an outage. There each request that is served late takes the slot of one that could be in time, so
-//! late ones get only what nobody else waits for, and nobody waits who is not likely to get a slot.
+//! Applies while the load exceeds the upstreams' capacity for some seconds: bursts, lost upstreams, callers that all
+//! retry after an outage. A request that is served late then takes the slot of one that could be on time. So late
+//! requests get only the slots that no other request waits for, and a request that is unlikely to get a slot does not
+//! wait.
 
 use std::time::{Duration, Instant};
 
 use crate::frame::Queue;
 
-/// What is usual on a route, as measured by the host that asks.
+/// Typical timings of a route, as measured by the requesting host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RouteTimings {
-    /// Time from sending a request to the first event of its answer, if it does not wait inside the upstream.
+    /// Time from sending a request to the first event of the response, without queueing inside the upstream.
     pub first_event: Option<Duration>,
     /// Time for which a request holds its slot.
     pub slot_time: Option<Duration>,
 }
 
-/// Part of the target that is left for the first event while nothing was measured, one part in so many.
-const UNMEASURED_PART: u32 = 3;
-/// First events that fit in what is left of the target once a request has its slot: half of them take longer than usual.
+/// Before the first measurement, one in this many parts of the target is reserved for the first event.
+const UNMEASURED_FIRST_EVENT_PART: u32 = 3;
+/// Number of typical first-event times reserved once a request has its slot, since half of them take longer than typical.
 const FIRST_EVENTS: u32 = 2;
-/// Part of its time for which a late request waits at most while nothing was measured, one part in so many.
-const UNMEASURED_HOLD_PART: u32 = 4;
-/// Steps in which the times at which callers come back are spread.
-const SPREAD: u64 = 64;
+/// Before the first measurement, a slot is assumed to be held for one in this many parts of the request's time.
+const UNMEASURED_SLOT_TIME_PART: u32 = 4;
+/// Number of steps over which retries are spread.
+const RETRY_STEPS: u64 = 64;
 
-/// An online request that asks for a slot.
+/// An online request that needs a slot.
 #[derive(Clone, Copy, Debug)]
 pub struct Admission {
-    /// When the host had it.
+    /// When the host received it.
     pub received: Instant,
-    /// When its answer has to be whole.
+    /// When its response must be complete.
     pub deadline: Instant,
-    /// Time within which its answer is to begin, counted from the caller's first try.
+    /// Time from the caller's first attempt to the first event of the response.
     pub target: Duration,
-    /// Its caller has come before, so that its answer is late in any case.
+    /// The caller has tried before, so the response is late in any case.
     pub is_retry: bool,
 }
 
 impl Admission {
-    /// Whether the request may wait for a slot. A late one waits until each slot that is in use now is likely to have come
-    /// free once: if it had none of them, others will have the next ones too.
-    pub fn queue(&self, usual: RouteTimings, now: Instant) -> Queue {
+    /// Returns whether and how long the request may wait for a slot. A retry waits for about one turnover of the slots
+    /// in use; if it got none of them, it is unlikely to get one of the next.
+    pub fn queue(&self, timings: RouteTimings, now: Instant) -> Queue {
         let until = match self.is_retry {
-            true => self.hold_until(usual),
-            false => self.in_time_until(usual),
+            true => self.retry_wait_until(timings),
+            false => self.on_time_until(timings),
         };
-        let patience = until.saturating_duration_since(now);
-        let patience_ms = patience.as_millis() as u32;
+        let max_wait = until.saturating_duration_since(now);
+        let max_wait_ms = max_wait.as_millis() as u32;
         match self.is_retry {
-            _ if patience_ms == 0 => Queue::No,
-            true => Queue::LowPriority(patience_ms),
-            false => Queue::Within(patience_ms),
+            _ if max_wait_ms == 0 => Queue::No,
+            true => Queue::LowPriority(max_wait_ms),
+            false => Queue::Within(max_wait_ms),
         }
     }
 
-    /// When the caller is told to come back after a refusal: when the slots that are in use have come free, and as late again
-    /// by chance, so that those who were refused together do not come back together.
-    pub fn retry_after(&self, usual: RouteTimings, draw: u64) -> Duration {
-        let turnover = self.turnover(usual);
-        turnover + turnover * (draw % SPREAD) as u32 / SPREAD as u32
+    /// Returns when a refused caller should retry: after one turnover of the slots in use, plus up to as much again by
+    /// `draw`, so that callers refused at the same time do not retry at the same time.
+    pub fn retry_after(&self, timings: RouteTimings, draw: u64) -> Duration {
+        let turnover = self.turnover(timings);
+        turnover + turnover * (draw % RETRY_STEPS) as u32 / RETRY_STEPS as u32
     }
 
-    /// Until when a slot is early enough for an answer in time.
-    fn in_time_until(&self, usual: RouteTimings) -> Instant {
-        let first_event = match usual.first_event {
+    /// Returns until when a slot is early enough for the response to be on time.
+    fn on_time_until(&self, timings: RouteTimings) -> Instant {
+        let first_event = match timings.first_event {
             Some(measured) => measured * FIRST_EVENTS,
-            None => self.target / UNMEASURED_PART,
+            None => self.target / UNMEASURED_FIRST_EVENT_PART,
         };
         let latest = self.received + self.target.saturating_sub(first_event);
         latest.min(self.deadline)
     }
 
-    fn hold_until(&self, usual: RouteTimings) -> Instant {
-        let held = usual.slot_time.unwrap_or_default();
-        let latest = self.deadline.checked_sub(held).unwrap_or(self.received);
-        latest.min(self.received + self.turnover(usual))
+    fn retry_wait_until(&self, timings: RouteTimings) -> Instant {
+        let slot_time = timings.slot_time.unwrap_or_default();
+        let latest = self.deadline.checked_sub(slot_time).unwrap_or(self.received);
+        latest.min(self.received + self.turnover(timings))
     }
 
-    /// The time in which each slot in use is likely to come free.
-    fn turnover(&self, usual: RouteTimings) -> Duration {
+    /// Returns the time in which each slot in use is likely to become free.
+    fn turnover(&self, timings: RouteTimings) -> Duration {
         let time = self.deadline.saturating_duration_since(self.received);
-        usual.slot_time.unwrap_or(time / UNMEASURED_HOLD_PART)
+        timings.slot_time.unwrap_or(time / UNMEASURED_SLOT_TIME_PART)
     }
 }
--- a/crates/tinbank-allocator/src/allocator.rs
+++ b/crates/tinbank-allocator/src/allocator.rs
@@ -1,6 +1,6 @@
-//! The allocator: decides which upstream a request may start at.
+//! The allocator: decides at which upstream a request may start.
 
-mod ask;
+mod slot_request;
 
 use std::{
     net::SocketAddr,
@@ -8,7 +8,7 @@
 };
 
 use smallvec::SmallVec;
-use tinbank_allowance::{Counter, Counts, Reach, Tolerance};
+use tinbank_allowance::{Counter, Counts, Reachability, Tolerance};
 use tinbank_base::id;
 
 use crate::{
@@ -16,24 +16,23 @@
     frame::{Frame, HeartbeatReply, Holdings, Release, SlotResponse, Verdict},
     grants::{self, Grants},
     lease::{self, Outcome},
-    smoothed_duration::SmoothedDuration,
     slow_start::ColdStart,
-    waiting::Waiting,
+    smoothed_duration::SmoothedDuration,
+    waiting::WaitQueue,
 };
 
-/// How often a host tells its holdings. It is also the heartbeat between hosts.
+/// How often a host reports its holdings, which is also its heartbeat.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// A lease that its holder has not named for this long is over: three heartbeats and a half.
-const LEASE_TIME: Duration = Duration::from_millis(3_500);
-/// An allocator that has heard of nobody for this long is not one any more: each host tells its holdings at each heartbeat.
-const ASKED_TIME: Duration = Duration::from_secs(2);
-/// For how long an allocator that knew of nobody grants nothing to batch: until every host has told its holdings.
+/// Time after which a lease that its holder no longer reports expires: three and a half heartbeats.
+const LEASE_DURATION: Duration = Duration::from_millis(3_500);
+/// Time without any slot request or heartbeat after which this allocator is no longer active.
+const ACTIVE_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long a new allocator grants nothing to batch, so that every host reports its holdings first.
 const LEARNING_TIME: Duration = Duration::from_millis(1_500);
-/// Part of a service's upstreams in a failure domain that may be ejected at once, in percent. Source: up to a third of the
-/// upstreams may be lost at once.
-const MOST_EJECTED_PERCENT: usize = 50;
+/// Maximum percentage of a service's upstreams in a failure domain that may be ejected at once.
+const MAX_EJECTED_PERCENT: usize = 50;
 
-/// An upstream that may be dealt out.
+/// An upstream whose slots may be allocated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Upstream {
     /// Its name.
@@ -42,101 +41,105 @@
     pub address: SocketAddr,
     /// Service it runs.
     pub service: id::Service,
-    /// How many requests it works on at once.
+    /// How many requests it processes concurrently.
     pub slots: usize,
-    /// It bears few requests a second for a while.
+    /// Rate limit that applies while the upstream is cold.
     pub cold: Option<ColdStart>,
 }
 
-/// A datagram to send.
+/// Datagrams to send, with their destinations.
 pub type Outgoing = SmallVec<[(SocketAddr, Frame); 2]>;
 
-/// What the allocator believes after a datagram, for the log.
+/// A change of the allocator's state that is worth a log line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StateChange {
-    /// Two hosts had trouble with an upstream; it gets no request for a while.
+    /// Two hosts reported failures of an upstream; it gets no request for a while.
     Ejected(id::Instance),
-    /// A host has heard that the upstream leaves.
+    /// A host reported that the upstream is leaving.
     Left(id::Instance),
-    /// The allocator had heard of nobody for a while, and learns before it grants to batch.
+    /// The allocator had been idle, and collects holdings before it grants slots to batch.
     Learning,
 }
 
-/// The state of an allocator. It serves whoever asks, so two at once are harmless: each host asks one.
+/// The state of an allocator. It serves any host that sends requests; two active allocators are harmless, because each
+/// host uses only one of them.
 #[derive(Debug)]
 pub struct Allocator {
     upstreams: Entries,
-    /// Some are dealt out no more since the list was told, because hosts have heard that they leave.
+    /// Whether upstreams were removed since the last list, because hosts reported that they are leaving.
     has_removed_upstreams: bool,
-    /// No lease is over before.
-    expires_at: Option<Instant>,
-    heard_at: Option<Instant>,
+    /// Lower bound of the time at which the next lease expires.
+    next_expiry: Option<Instant>,
+    last_contact: Option<Instant>,
     learning_until: Option<Instant>,
-    turn: u64,
-    /// What it says of its host.
-    alive: HeartbeatReply,
-    /// How long online requests take.
-    pace: SmoothedDuration,
+    rotation: u64,
+    /// Sent in response to heartbeats.
+    heartbeat_reply: HeartbeatReply,
+    /// How long online requests hold a slot.
+    slot_time: SmoothedDuration,
     /// Online requests for which no slot was free.
-    waiting: Waiting,
-    /// What customers have used of their allowances.
+    wait_queue: WaitQueue,
+    /// How much of their allowances customers have used.
     counter: Counter,
-    /// The hosts that ask it.
-    reach: Reach,
+    /// The hosts that use this allocator.
+    reachability: Reachability,
 }
 
 impl Allocator {
-    /// An allocator that knows of nothing. `seed` names its start, and makes the order among equals differ between hosts.
+    /// Creates an allocator without upstreams or leases. `seed` identifies this incarnation of the counter and makes
+    /// different hosts start at different upstreams among equally loaded ones.
     pub fn new(seed: u64, tolerance: Tolerance) -> Self {
         Self {
             upstreams: Entries::default(),
             has_removed_upstreams: false,
-            expires_at: None,
-            heard_at: None,
+            next_expiry: None,
+            last_contact: None,
             learning_until: None,
-            turn: seed,
-            alive: HeartbeatReply::default(),
-            pace: SmoothedDuration::default(),
-            waiting: Waiting::default(),
+            rotation: seed,
+            heartbeat_reply: HeartbeatReply::default(),
+            slot_time: SmoothedDuration::default(),
+            wait_queue: WaitQueue::default(),
             counter: Counter::new(seed, tolerance),
-            reach: Reach::default(),
+            reachability: Reachability::default(),
         }
     }
 
-    /// Takes in the upstreams of the failure domain that take requests. Requests that wait for a service that none of them
-    /// runs any more are told at once: they may still be in time elsewhere.
+    /// Sets the upstreams of the failure domain that accept requests. Queued requests for a service without any upstream
+    /// left are denied at once, since another failure domain may still serve them in time.
     pub fn set_upstreams(&mut self, upstreams: Vec<Upstream>) -> Outgoing {
         self.has_removed_upstreams = false;
         self.upstreams.replace(upstreams);
         let upstreams = &self.upstreams;
-        let is_run = |service: &str| upstreams.iter().any(|it| it.upstream.service == service);
-        let in_vain = self.waiting.remove_unless(|ask| is_run(&ask.service));
-        let denied = in_vain.into_iter().map(|waiter| {
-            let answer = SlotResponse {
-                lease: waiter.ask.lease,
+        let has_upstream = |service: &str| upstreams.iter().any(|it| it.upstream.service == service);
+        let unservable = self
+            .wait_queue
+            .remove_unless(|request| has_upstream(&request.service));
+        let denied = unservable.into_iter().map(|waiter| {
+            let response = SlotResponse {
+                lease: waiter.request.lease,
                 verdict: Verdict::Denied,
             };
-            (waiter.from, Frame::SlotResponse(answer))
+            (waiter.from, Frame::SlotResponse(response))
         });
         denied.collect()
     }
 
-    /// True if hosts have heard that upstreams leave which the list named.
+    /// Returns whether upstreams of the last list were removed, because hosts reported that they are leaving.
     pub fn has_removed_upstreams(&self) -> bool {
         self.has_removed_upstreams
     }
 
-    /// Takes in how many hosts are listed.
+    /// Sets how many hosts are listed.
     pub fn set_host_count(&mut self, listed: usize, now: Instant) {
-        self.reach.listed(listed, now);
+        self.reachability.set_host_count(listed, now);
     }
 
-    /// What the allocator is to say of its host in its heartbeats.
-    pub fn set_heartbeat_reply(&mut self, alive: HeartbeatReply) {
-        self.alive = alive;
+    /// Sets what the allocator sends in response to heartbeats.
+    pub fn set_heartbeat_reply(&mut self, reply: HeartbeatReply) {
+        self.heartbeat_reply = reply;
     }
 
-    /// Takes in a datagram.
+    /// Handles a datagram.
     pub fn receive(
         &mut self,
         from: SocketAddr,
@@ -145,25 +148,25 @@
     ) -> (Outgoing, Option<StateChange>) {
         let mut out = Outgoing::new();
         let change = match frame {
-            Frame::SlotRequest(ask) => {
-                let change = self.wake(from, now);
-                self.ask(from, ask, now, &mut out);
+            Frame::SlotRequest(request) => {
+                let change = self.record_contact(from, now);
+                self.handle_request(from, request, now, &mut out);
                 change
             }
             Frame::Release(release) => self.release(from, &release, now),
             Frame::Withdraw(lease) => {
-                self.waiting.remove(from, lease);
+                self.wait_queue.remove(from, lease);
                 None
             }
             Frame::Holdings(holdings) => {
-                let change = self.wake(from, now);
-                self.holdings(from, &holdings, now);
-                out.push((from, Frame::HeartbeatReply(self.alive)));
+                let change = self.record_contact(from, now);
+                self.apply_holdings(from, &holdings, now);
+                out.push((from, Frame::HeartbeatReply(self.heartbeat_reply)));
                 change
             }
             Frame::Counts(counts) => {
-                self.reach.told(from, &counts, now);
-                self.counter.told(from, counts, now);
+                self.reachability.record_counts(from, &counts, now);
+                self.counter.apply(from, counts, now);
                 None
             }
             Frame::SlotResponse(_)
@@ -174,138 +177,138 @@
                 return (out, None);
             }
         };
-        self.serve_waiting(now, &mut out);
+        self.serve_wait_queue(now, &mut out);
         (out, change)
     }
 
-    /// Forgets all leases, as after a pause of the process: what it believes is as old as the pause.
+    /// Drops all leases and starts learning, for use after a pause of the process, when the state is out of date.
     pub fn forget_leases(&mut self, now: Instant) {
         for entry in self.upstreams.iter_mut() {
-            entry.account.grants = Grants::default();
-            entry.account.foreign = None;
-            entry.account.slow_start.forget(now);
+            entry.state.grants = Grants::default();
+            entry.state.orphaned = None;
+            entry.state.slow_start.reset(now);
         }
         self.learning_until = Some(now + LEARNING_TIME);
-        self.counter.forget(false, now);
-        self.reach.forget();
+        self.counter.reset(false, now);
+        self.reachability.reset();
     }
 
-    /// The upstreams that may work on requests of hosts that were lost. One that was found without any needs no other look: such
-    /// requests only become fewer.
+    /// Returns the upstreams that may still process orphaned requests, which are those of hosts that were lost. An
+    /// upstream found without any is not polled again: orphaned requests only become fewer.
     pub fn upstreams_to_poll(&self) -> impl Iterator<Item = &Upstream> {
         let unsettled = self.upstreams.iter();
-        let unsettled = unsettled.filter(|it| it.account.foreign.is_none_or(|it| it > 0));
+        let unsettled = unsettled.filter(|it| it.state.orphaned.is_none_or(|it| it > 0));
         unsettled.map(|entry| &entry.upstream)
     }
 
-    /// Takes in how many requests an upstream says that it has. Those that no known lease is for are of hosts that were
-    /// lost: the upstream does not notice at once when a host loses power. They only become fewer.
+    /// Records how many requests an upstream reports. Requests without a known lease are orphaned: an upstream does not
+    /// notice at once that a host has lost power.
     pub fn record_load(&mut self, upstream: &id::Instance, requests: usize, now: Instant) -> Outgoing {
         let mut out = Outgoing::new();
-        if let Some(index) = self.upstreams.find(upstream) {
-            self.upstreams[index].account.reported(requests, now);
-            self.serve_waiting(now, &mut out);
+        if let Some(index) = self.upstreams.index_of(upstream) {
+            self.upstreams[index].state.record_load(requests, now);
+            self.serve_wait_queue(now, &mut out);
         }
         out
     }
 
-    /// Upstreams were asked for long enough: what they still work on is not of hosts that were lost.
+    /// Clears the orphaned requests of all upstreams. Called once upstreams have been polled for long enough that none is
+    /// left.
     pub fn clear_orphaned(&mut self) {
         for entry in self.upstreams.iter_mut() {
-            entry.account.foreign = None;
+            entry.state.orphaned = None;
         }
     }
 
-    /// True while hosts ask this allocator and it learns, or upstreams work on requests of hosts that were lost. One that
-    /// nobody asks any more knows no leases, and would take all that upstreams do for work of lost hosts.
+    /// Returns whether upstreams need to be polled: the allocator is learning, or orphaned requests are left. An
+    /// inactive allocator knows no leases and would count all load as orphaned, so it polls nothing.
     pub fn needs_load_reports(&self, now: Instant) -> bool {
         let mut entries = self.upstreams.iter();
-        let has_foreign = entries.any(|it| it.account.foreign.is_some_and(|it| it > 0));
-        self.is_asked(now) && (self.is_learning(now) || has_foreign)
+        let has_orphaned = entries.any(|it| it.state.orphaned.is_some_and(|it| it > 0));
+        self.is_active(now) && (self.is_learning(now) || has_orphaned)
     }
 
-    /// Starts learning if nobody has told anything for longer than a lease holds.
-    fn wake(&mut self, from: SocketAddr, now: Instant) -> Option<StateChange> {
-        let idle = self.heard_at.is_none_or(|at| now > at + LEASE_TIME);
-        self.heard_at = Some(now);
+    /// Records that a host uses this allocator. Starts learning if there was no contact for longer than a lease lasts.
+    fn record_contact(&mut self, from: SocketAddr, now: Instant) -> Option<StateChange> {
+        let idle = self.last_contact.is_none_or(|at| now > at + LEASE_DURATION);
+        self.last_contact = Some(now);
         if idle {
-            self.reach.forget();
+            self.reachability.reset();
         }
-        self.reach.heard(from, now);
-        let share = self.reach.share(now);
-        self.counter.give_out(share, now);
+        self.reachability.record_host(from, now);
+        let share = self.reachability.share(now);
+        self.counter.set_share(share, now);
         if !idle {
             return None;
         }
         self.learning_until = Some(now + LEARNING_TIME);
-        if !self.reach.is_told(now) {
-            self.counter.forget(self.reach.is_new(now), now);
+        if !self.reachability.has_fresh_report(now) {
+            self.counter.reset(self.reachability.is_starting(now), now);
         }
         for entry in self.upstreams.iter_mut() {
-            entry.account.foreign = None;
-            entry.account.slow_start.forget(now);
+            entry.state.orphaned = None;
+            entry.state.slow_start.reset(now);
         }
         Some(StateChange::Learning)
     }
 
-    /// What other allocators have to hear of the customers that this one has let in, while it is one.
+    /// Returns the customer counts to send to other allocators, if this one is active.
     pub fn counts(&mut self, now: Instant) -> Option<Counts> {
-        match self.is_asked(now) {
+        match self.is_active(now) {
             true => {
-                let reach = &self.reach;
-                self.counter.news(reach, now)
+                let reachability = &self.reachability;
+                self.counter.next_counts(reachability, now)
             }
             false => None,
         }
     }
 
-    /// Hosts that have told this one their counts at most `age` ago.
+    /// Returns the hosts that have sent their counts within `age`.
     pub fn recent_count_senders(&self, age: Duration, now: Instant) -> impl Iterator<Item = SocketAddr> {
-        self.reach.tellers(age, now)
+        self.reachability.recent_senders(age, now)
     }
 
-    fn is_asked(&self, now: Instant) -> bool {
-        self.heard_at.is_some_and(|at| now < at + ASKED_TIME)
+    fn is_active(&self, now: Instant) -> bool {
+        self.last_contact.is_some_and(|at| now < at + ACTIVE_TIMEOUT)
     }
 
-    /// True while the allocator may not know who uses which slots.
+    /// Returns whether leases may exist that no host has reported yet.
     fn is_learning(&self, now: Instant) -> bool {
         self.learning_until.is_some_and(|until| now < until)
     }
 
-    /// Drops the leases whose time is up.
-    fn expire(&mut self, now: Instant) {
-        if self.expires_at.is_some_and(|at| now < at) {
+    /// Drops expired leases.
+    fn expire_leases(&mut self, now: Instant) {
+        if self.next_expiry.is_some_and(|at| now < at) {
             return;
         }
         let entries = self.upstreams.iter_mut();
-        let next = entries.filter_map(|it| it.account.grants.expire(now)).min();
-        // What is granted from now on lasts for longer.
-        self.expires_at = Some(next.unwrap_or(now + LEASE_TIME));
+        let next = entries.filter_map(|it| it.state.grants.remove_expired(now)).min();
+        // Leases granted from now on expire later.
+        self.next_expiry = Some(next.unwrap_or(now + LEASE_DURATION));
     }
 
     fn release(&mut self, from: SocketAddr, release: &Release, now: Instant) -> Option<StateChange> {
         if release.outcome == Outcome::Leaving {
-            return self.leave(&release.upstream);
+            return self.remove_leaving(&release.upstream);
         }
-        let index = self.upstreams.find(&release.upstream)?;
+        let index = self.upstreams.index_of(&release.upstream)?;
         let may_eject = self.may_eject(index, now);
         let entry = &mut self.upstreams[index];
-        let removed = entry.account.grants.remove(from, release.lease);
+        let removed = entry.state.grants.remove(from, release.lease);
         let granted_at = removed.and_then(|grant| grant.granted_at);
         if let (Some(at), Outcome::Served) = (granted_at, release.outcome) {
-            self.pace.record(now.saturating_duration_since(at));
+            self.slot_time.record(now.saturating_duration_since(at));
         }
         let ejected = entry
-            .account
+            .state
             .health
-            .note(from, release.outcome, may_eject, now);
+            .record_outcome(from, release.outcome, may_eject, now);
         ejected.then(|| StateChange::Ejected(release.upstream.clone()))
     }
 
-    /// True if the upstream may be ejected: of those of its service, more than [`MOST_EJECTED_PERCENT`] never are at once,
-    /// but one always may. Where most of them are in trouble, the cause is likely not theirs, and to load the others more
-    /// makes it worse.
+    /// Returns whether the upstream may be ejected: at most [`MAX_EJECTED_PERCENT`] of its service's upstreams at once,
+    /// but always one. If most upstreams fail, the cause is likely elsewhere, and more load on the rest makes it worse.
     fn may_eject(&self, index: usize, now: Instant) -> bool {
         let service = &self.upstreams[index].upstream.service;
         let same = self
@@ -314,45 +317,45 @@
             .filter(|entry| entry.upstream.service == *service);
         let ejected = same
             .clone()
-            .filter(|it| it.account.health.ejected(now))
+            .filter(|it| it.state.health.is_ejected(now))
             .count();
-        ejected == 0 || (ejected + 1) * 100 <= same.count() * MOST_EJECTED_PERCENT
+        ejected == 0 || (ejected + 1) * 100 <= same.count() * MAX_EJECTED_PERCENT
     }
 
-    /// Deals an upstream out no more, because a host has heard that it leaves. A host's list may be cut off from the
-    /// platform while its peers still follow theirs.
-    fn leave(&mut self, upstream: &id::Instance) -> Option<StateChange> {
+    /// Removes an upstream that a host reported as leaving. This host's list may be out of date while it can't reach the
+    /// platform.
+    fn remove_leaving(&mut self, upstream: &id::Instance) -> Option<StateChange> {
         let is_known = self.upstreams.remove(upstream);
         self.has_removed_upstreams |= is_known;
         is_known.then(|| StateChange::Left(upstream.clone()))
     }
 
-    fn holdings(&mut self, from: SocketAddr, holdings: &Holdings, now: Instant) {
-        self.upstreams.keep(from, holdings.next, &holdings.held);
+    fn apply_holdings(&mut self, from: SocketAddr, holdings: &Holdings, now: Instant) {
+        self.upstreams.retain_held(from, holdings.next, &holdings.held);
         for held in &holdings.held {
             self.renew(from, held, now);
         }
     }
 
     fn renew(&mut self, from: SocketAddr, held: &lease::Held, now: Instant) {
-        // A lease at an upstream that is no longer listed needs no account: nothing is granted there.
-        let Some(index) = self.upstreams.find(&held.upstream) else {
+        // Nothing is granted at an upstream that is no longer listed, so its leases need no tracking.
+        let Some(index) = self.upstreams.index_of(&held.upstream) else {
             return;
         };
-        let account = &mut self.upstreams[index].account;
-        if !account.grants.has(from, held.lease)
-            && let Some(foreign) = &mut account.foreign
+        let state = &mut self.upstreams[index].state;
+        if !state.grants.contains(from, held.lease)
+            && let Some(orphaned) = &mut state.orphaned
         {
-            // It was counted as nobody's.
-            *foreign = foreign.saturating_sub(1);
+            // The request was counted as orphaned until now.
+            *orphaned = orphaned.saturating_sub(1);
         }
-        account.grants.add(grants::Grant {
+        state.grants.add(grants::Grant {
             holder: from,
             lease: held.lease,
             class: held.class,
-            until: now + LEASE_TIME,
+            expires_at: now + LEASE_DURATION,
             granted_at: None,
         });
-        self.upstreams.note_holder(index, from);
+        self.upstreams.add_holder(index, from);
     }
 }
--- a/crates/tinbank-allocator/src/avoidance.rs
+++ b/crates/tinbank-allocator/src/avoidance.rs
@@ -1,8 +1,8 @@
-//! Upstreams that one host avoids for a while after its own trouble with them.
+//! Upstreams that one host avoids for a while after failures of its own.
 //!
-//! The allocator ejects an upstream only if two hosts have trouble with it, so that one bad host or link ejects nobody for
-//! all. Until then, and if only its own way there is bad, a host avoids the upstream by itself; it is sent there only what would
-//! be turned away otherwise.
+//! The allocator ejects an upstream only after two hosts reported failures, so that one bad host or link cannot eject
+//! it for all. Until then, or if only this host's path to it is bad, the host avoids the upstream by itself and sends
+//! it only requests that would otherwise be refused.
 
 use std::{
     collections::HashMap,
@@ -14,10 +14,10 @@
 
 use crate::lease::Outcome;
 
-/// For how long an upstream is avoided that refused a request: about as long as a request holds a slot.
+/// How long an upstream is avoided after it refused a request: about as long as a request holds a slot.
 const AFTER_REFUSAL: Duration = Duration::from_millis(400);
-/// For how long an upstream is avoided that failed or fell silent: longer than hosts need to agree that it is in trouble.
-const AFTER_TROUBLE: Duration = Duration::from_millis(1_500);
+/// How long an upstream is avoided after a failure: longer than hosts need to agree on an ejection.
+const AFTER_FAILURE: Duration = Duration::from_millis(1_500);
 
 /// The upstreams that a host avoids, and until when.
 #[derive(Debug, Default)]
@@ -26,10 +26,10 @@
 }
 
 impl Avoidance {
-    /// Takes in how a request of this host ended.
+    /// Records the outcome of a request of this host.
     pub fn record_outcome(&mut self, upstream: &id::Instance, outcome: Outcome, now: Instant) {
         let time = match outcome {
-            Outcome::Failed | Outcome::Unresponsive => AFTER_TROUBLE,
+            Outcome::Failed | Outcome::Unresponsive => AFTER_FAILURE,
             Outcome::Refused => AFTER_REFUSAL,
             Outcome::Served => {
                 self.until.remove(upstream);
@@ -40,7 +40,7 @@
         self.until.insert(upstream.clone(), now + time);
     }
 
-    /// The upstreams that are avoided now.
+    /// Returns the upstreams to avoid now.
     pub fn upstreams(&mut self, now: Instant) -> SmallVec<[id::Instance; 4]> {
         self.until.retain(|_, until| now < *until);
         self.until.keys().cloned().collect()
--- a/crates/tinbank-allocator/src/directory.rs
+++ b/crates/tinbank-allocator/src/directory.rs
@@ -1,7 +1,7 @@
-//! Which hosts act for a failure domain, as one host sees it: its allocator, and its delegates.
+//! Which hosts act for a failure domain, as one host sees it: its allocator and its delegates.
 //!
-//! A few hosts of each failure domain, the delegates, read the platform's store for the others; the first of them is also the
-//! allocator. If all hosts read it themselves, the store would have to move hosts times records. See
+//! A few hosts of each failure domain, the delegates, read the platform's store for the others; the first of them is
+//! also the allocator. If every host read the store itself, its traffic would be hosts times records. See
 //! `docs/design/delegates.md`.
 
 use std::{
@@ -16,48 +16,47 @@
 use smallvec::SmallVec;
 use tinbank_base::id;
 
-/// For how long a host is passed over after its first missing answer. Doubled with each further one.
-/// Source: two heartbeats, so that one lost datagram does not move the allocator for long.
-const FIRST_SILENCE: Duration = Duration::from_secs(2);
-/// Longest time for which a silent host is passed over before it is tried again.
-const LONGEST_SILENCE: Duration = Duration::from_secs(16);
+/// How long an unresponsive host is skipped at first, doubled each further time. Two heartbeats, so that a lost
+/// datagram does not move the allocator for long.
+const MIN_SKIP: Duration = Duration::from_secs(2);
+/// Upper bound of the time for which an unresponsive host is skipped before it is probed again.
+const MAX_SKIP: Duration = Duration::from_secs(16);
 
-/// Delegates of a failure domain. Source: as many hosts as may be lost at once and as many again; what they read of the
-/// store grows with their number, and so do the partitions of jobs that each runs when others are lost.
+/// Delegates per failure domain: enough that some are left when several hosts are lost at once. Reads of the store and
+/// the job partitions that a delegate takes over grow with this number.
 const DELEGATES: usize = 4;
 
-/// Hosts of a failure domain that are told what customers use. Source: hosts notice each for itself that an allocator is lost,
-/// which takes up to two heartbeats; until then only those that are told anyway hear of each other. With a third of the hosts
-/// cut off, the three new allocators told the lost ones, and let a customer have 263 requests of 244 in a window.
+/// Hosts per failure domain that receive customer counts: the allocator and those that would replace it. Hosts notice the
+/// loss of an allocator independently, up to two heartbeats apart, and a replacement must know the counts by then.
 const COUNTERS: usize = 3;
 
-/// A host of the system, as it is listed.
+/// A host of the system, as listed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Peer {
-    /// Where it takes datagrams, and what other hosts follow at it.
+    /// Where it receives datagrams and serves updates to the hosts that follow it.
     pub address: SocketAddr,
-    /// Where it takes callers' requests.
+    /// Where it accepts callers' requests.
     pub callers: SocketAddr,
-    /// Failure domain it runs in, whose upstreams it deals out.
+    /// Failure domain it runs in, whose upstreams it may allocate.
     pub failure_domain: id::FailureDomain,
-    /// What it can carry.
+    /// Resources available to it.
     pub capacity: Capacity,
 }
 
-/// What a host has of its own, by its settings.
+/// Resources available to a host, by its settings.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Capacity {
-    /// Share of a core, in thousandths.
+    /// CPU in thousandths of a core.
     pub cpu_millis: u32,
     /// Memory in megabytes.
     pub memory_mb: u32,
-    /// Bandwidth of its link in megabits a second.
+    /// Network bandwidth in megabits per second.
     pub link_mbps: u32,
 }
 
 impl Capacity {
-    /// The largest of each.
+    /// Returns the maximum of each resource.
     fn max(self, other: Self) -> Self {
         Self {
             cpu_millis: self.cpu_millis.max(other.cpu_millis),
@@ -66,8 +65,8 @@
         }
     }
 
-    /// How far a host is from the best that there is, by what it has least of: how many times that was halved. Hosts
-    /// that differ by less are equals, so that work falls on all of them.
+    /// Returns how many times the best value was halved for the host's scarcest resource. Hosts that differ by less
+    /// than a factor of two count as equal, so that work is spread over all of them.
     fn halvings(self, best: Self) -> u32 {
         let shares = [
             (self.cpu_millis, best.cpu_millis),
@@ -79,49 +78,50 @@
     }
 }
 
-/// How long a host may take to answer at least, however near it is.
-const LEAST_PATIENCE: Duration = Duration::from_millis(25);
-/// How long it may take at most, however far away it is: a request must not be late for asking.
-const MOST_PATIENCE: Duration = Duration::from_millis(150);
-/// Round trips that an answer may take. Source: the time of the answer itself, and a queue on the way.
-const ROUND_TRIPS: u32 = 3;
-/// Weight of the newest round trip in the smoothed one, one part in so many.
+/// Lower bound of the response timeout, which applies to nearby hosts.
+const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(25);
+/// Upper bound of the response timeout: a slot request must not make the caller's request late.
+const MAX_RESPONSE_TIMEOUT: Duration = Duration::from_millis(150);
+/// Response timeout in round trips, which leaves room for processing and queueing.
+const TIMEOUT_ROUND_TRIPS: u32 = 3;
+/// The newest round trip has a weight of one in this many in the smoothed one.
 const SMOOTHING: u32 = 4;
-/// Missing answers in a row after which a host is passed over. Source: on a link that loses packets single answers go
-/// missing all the time, and each host that another allocator is asked for makes allocators deal without each other's knowledge.
-const MISSES: u32 = 2;
+/// Consecutive timeouts after which a host is skipped. More than one, since single datagrams get lost on lossy links, and
+/// requests to several allocators make them grant slots without knowledge of each other.
+const MAX_TIMEOUTS: u32 = 2;
 
-/// The hosts known, and which of them are silent.
+/// The known hosts, and which of them are unresponsive.
 #[derive(Debug, Default)]
 pub struct Directory {
-    /// In the order in which they act for their failure domains. Ranked once a list: each request asks for allocators.
+    /// Sorted by the order in which they act for their failure domains, once per list since each request looks up
+    /// allocators.
     peers: Vec<Peer>,
     /// The failure domains of the hosts, sorted.
     failure_domains: Vec<id::FailureDomain>,
-    /// Hosts of which an answer was missed and nothing was heard since.
-    silent: HashMap<SocketAddr, Silence>,
-    /// When the heartbeat was sent that a host has not answered yet.
-    sent: HashMap<SocketAddr, Instant>,
-    /// How far away hosts are, by their answers to heartbeats.
+    /// Hosts that missed a response and have sent nothing since.
+    unresponsive: HashMap<SocketAddr, Timeouts>,
+    /// When the heartbeat was sent that a host has yet to reply to.
+    heartbeats_sent: HashMap<SocketAddr, Instant>,
+    /// Smoothed round-trip times, from replies to heartbeats.
     round_trips: HashMap<SocketAddr, Duration>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Silence {
-    misses: u32,
-    /// Passed over until then, for the last time that it was.
-    until: Instant,
-    /// How many times it was passed over.
-    strikes: u32,
+struct Timeouts {
+    count: u32,
+    /// End of the current or last time for which the host is skipped.
+    skipped_until: Instant,
+    /// How many times it was skipped.
+    skips: u32,
 }
 
 impl Directory {
-    /// Takes in the list of hosts.
+    /// Sets the list of hosts.
     pub fn set_hosts(&mut self, mut peers: Vec<Peer>) {
         let listed: HashSet<SocketAddr> = peers.iter().map(|peer| peer.address).collect();
         let is_listed = |address: &SocketAddr| listed.contains(address);
-        self.silent.retain(|address, _| is_listed(address));
-        self.sent.retain(|address, _| is_listed(address));
+        self.unresponsive.retain(|address, _| is_listed(address));
+        self.heartbeats_sent.retain(|address, _| is_listed(address));
         self.round_trips.retain(|address, _| is_listed(address));
         let capacities = peers.iter().map(|peer| peer.capacity);
         let best = capacities.fold(Capacity::default(), Capacity::max);
@@ -131,17 +131,18 @@
         self.peers = peers;
     }
 
-    /// Where all hosts that are listed take datagrams.
+    /// Returns the datagram addresses of all listed hosts.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.peers.iter().map(|peer| peer.address).collect()
     }
 
-    /// Number of hosts that are listed.
+    /// Returns the number of listed hosts.
     pub fn host_count(&self) -> usize {
         self.peers.len()
     }
 
-    /// Failure domains in which there are hosts, in the order in which a host of `own` asks them.
+    /// Returns the failure domains that have hosts, in the order in which a host of `own` sends slot requests to them:
+    /// its own first, then the others rotated by `turn`.
     pub fn failure_domains(&self, own: &str, turn: u64) -> SmallVec<[id::FailureDomain; 4]> {
         let others = self.failure_domains.iter().filter(|it| *it != own);
         let mut others: SmallVec<[id::FailureDomain; 4]> = others.cloned().collect();
@@ -153,21 +154,21 @@
         others
     }
 
-    /// The allocator of a failure domain: the first of its delegates.
+    /// Returns the allocator of a failure domain, which is its first delegate.
     pub fn allocator(&self, failure_domain: &str, now: Instant) -> Option<SocketAddr> {
         let mut candidates = self.candidates(failure_domain, now);
         candidates.next().map(|peer| peer.address)
     }
 
-    /// The delegates of a failure domain: of the hosts that are not silent those that can carry most, and among equals the
-    /// first by rendezvous hash.
+    /// Returns the delegates of a failure domain: of the responsive hosts, those with the most capacity, and among
+    /// equals the first by rendezvous hash.
     pub fn delegates(&self, failure_domain: &str, now: Instant) -> Delegates<'_> {
         self.candidates(failure_domain, now)
             .take(DELEGATES)
             .collect()
     }
 
-    /// The hosts that count what customers use, and those that will once others are lost: the first delegates of each failure
+    /// Returns the hosts that count customers' requests or would take over the count: the first delegates of each failure
     /// domain.
     pub fn counters(&self, now: Instant) -> SmallVec<[SocketAddr; 12]> {
         let domains = self.failure_domains.iter();
@@ -178,17 +179,17 @@
     fn candidates(&self, failure_domain: &str, now: Instant) -> impl Iterator<Item = &Peer> {
         let peers = self.peers.iter();
         let of_domain = peers.filter(move |peer| peer.failure_domain == failure_domain);
-        of_domain.filter(move |peer| !self.is_silent(peer.address, now))
+        of_domain.filter(move |peer| !self.is_skipped(peer.address, now))
     }
 
-    /// Takes in that a heartbeat was sent to a host.
+    /// Records that a heartbeat was sent to a host.
     pub fn record_heartbeat_sent(&mut self, address: SocketAddr, now: Instant) {
-        self.sent.insert(address, now);
+        self.heartbeats_sent.insert(address, now);
     }
 
-    /// Takes in that a host has answered a heartbeat.
+    /// Records that a host has replied to a heartbeat.
     pub fn record_heartbeat_reply(&mut self, address: SocketAddr, now: Instant) {
-        let Some(sent) = self.sent.remove(&address) else {
+        let Some(sent) = self.heartbeats_sent.remove(&address) else {
             return;
         };
         let newest = now.saturating_duration_since(sent);
@@ -196,52 +197,52 @@
         *smoothed = (*smoothed * (SMOOTHING - 1) + newest) / SMOOTHING;
     }
 
-    /// How long a host may take to answer an ask, by how far away it is.
+    /// Returns how long to wait for a host's response to a slot request, based on its round-trip time.
     pub fn response_timeout(&self, address: SocketAddr) -> Duration {
         let round_trip = self.round_trips.get(&address).copied();
-        let needed = round_trip.unwrap_or_default() * ROUND_TRIPS;
-        needed.clamp(LEAST_PATIENCE, MOST_PATIENCE)
+        let needed = round_trip.unwrap_or_default() * TIMEOUT_ROUND_TRIPS;
+        needed.clamp(MIN_RESPONSE_TIMEOUT, MAX_RESPONSE_TIMEOUT)
     }
 
-    /// Takes in that a host has sent a datagram. True if it had been passed over.
+    /// Records that a host has sent a datagram. Returns whether it had been skipped as unresponsive.
     pub fn record_datagram(&mut self, address: SocketAddr) -> bool {
-        let silence = self.silent.remove(&address);
-        silence.is_some_and(|silence| silence.strikes > 0)
+        let timeouts = self.unresponsive.remove(&address);
+        timeouts.is_some_and(|timeouts| timeouts.skips > 0)
     }
 
-    /// Takes in that an answer of a host is missing. True if it is passed over from now on.
+    /// Records that a host did not respond in time. Returns whether it is skipped from now on.
     pub fn record_timeout(&mut self, address: SocketAddr, now: Instant) -> bool {
-        if self.is_silent(address, now) {
+        if self.is_skipped(address, now) {
             return false;
         }
-        let silence = self.silent.entry(address).or_insert(Silence {
-            misses: 0,
-            until: now,
-            strikes: 0,
+        let timeouts = self.unresponsive.entry(address).or_insert(Timeouts {
+            count: 0,
+            skipped_until: now,
+            skips: 0,
         });
-        silence.misses += 1;
-        if silence.misses < MISSES {
+        timeouts.count += 1;
+        if timeouts.count < MAX_TIMEOUTS {
             return false;
         }
-        let wait = FIRST_SILENCE * 2u32.saturating_pow(silence.strikes);
-        silence.until = now + wait.min(LONGEST_SILENCE);
-        silence.strikes += 1;
+        let skip = MIN_SKIP * 2u32.saturating_pow(timeouts.skips);
+        timeouts.skipped_until = now + skip.min(MAX_SKIP);
+        timeouts.skips += 1;
         true
     }
 
-    /// Hosts that were passed over and whose time is up; they are asked for a heartbeat before they count again.
+    /// Returns the hosts that are no longer skipped but have sent nothing since. They are sent a ping.
     pub fn hosts_to_probe(&self, now: Instant) -> SmallVec<[SocketAddr; 4]> {
-        let silent = self.silent.iter();
-        let due = silent.filter(|(_, it)| it.strikes > 0 && it.until <= now);
+        let unresponsive = self.unresponsive.iter();
+        let due = unresponsive.filter(|(_, it)| it.skips > 0 && it.skipped_until <= now);
         due.map(|(address, _)| *address).collect()
     }
 
-    /// A host by the address at which it takes datagrams.
+    /// Returns the host with this datagram address.
     pub fn peer(&self, address: SocketAddr) -> Option<&Peer> {
         self.peers.iter().find(|peer| peer.address == address)
     }
 
-    /// The allocators of all failure domains.
+    /// Returns the allocators of all failure domains.
     pub fn allocators(&self, now: Instant) -> SmallVec<[SocketAddr; 4]> {
         self.failure_domains
             .iter()
@@ -249,17 +250,17 @@
             .collect()
     }
 
-    fn is_silent(&self, address: SocketAddr, now: Instant) -> bool {
-        self.silent
+    fn is_skipped(&self, address: SocketAddr, now: Instant) -> bool {
+        self.unresponsive
             .get(&address)
-            .is_some_and(|silence| now < silence.until)
+            .is_some_and(|timeouts| now < timeouts.skipped_until)
     }
 }
 
 /// Delegates of a failure domain, the allocator first.
 pub type Delegates<'a> = SmallVec<[&'a Peer; DELEGATES]>;
 
-/// The order in which the hosts of a failure domain act for it.
+/// Sort key for the order in which the hosts of a failure domain act for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     halvings: u32,
--- a/crates/tinbank-allocator/src/entries.rs
+++ b/crates/tinbank-allocator/src/entries.rs
@@ -1,7 +1,7 @@
-//! The upstreams that are dealt out, and which of them a host holds slots of.
+//! The upstreams of an allocator, indexed by name and by the hosts that hold leases.
 //!
-//! Each host tells its holdings once a second. To look at every upstream for each of them would cost hosts times upstreams a
-//! second, so the work for a datagram grows with what the datagram names only.
+//! Every host reports its holdings once per second. Scanning all upstreams for each report would cost hosts times
+//! upstreams per second; the indices keep the work per datagram proportional to its contents.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -17,13 +17,13 @@
     lease::{self, Held},
 };
 
-/// The upstreams, in the order in which they were told.
+/// The upstreams, in the order of the list.
 #[derive(Debug, Default)]
 pub(crate) struct Entries {
     entries: Vec<Entry>,
-    places: HashMap<id::Instance, usize>,
-    /// For each host the places of the upstreams that it holds slots of, and of some where its slots have ended.
-    held: HashMap<SocketAddr, BTreeSet<usize>>,
+    by_instance: HashMap<id::Instance, usize>,
+    /// For each host, the upstreams at which it holds leases. May include some at which its leases have ended.
+    by_holder: HashMap<SocketAddr, BTreeSet<usize>>,
 }
 
 impl Deref for Entries {
@@ -41,70 +41,71 @@
 }
 
 impl Entries {
-    /// Takes in which upstreams there are. What is known of those that stay is kept.
+    /// Replaces the list of upstreams, keeping the state of those that remain.
     pub fn replace(&mut self, upstreams: Vec<Upstream>) {
         let before = self.entries.drain(..);
-        let before = before.map(|entry| (entry.upstream.instance, entry.account));
-        let mut accounts: HashMap<_, _> = before.collect();
+        let before = before.map(|entry| (entry.upstream.instance, entry.state));
+        let mut states: HashMap<_, _> = before.collect();
         let entries = upstreams.into_iter().map(|upstream| {
-            let account = accounts.remove(&upstream.instance);
+            let state = states.remove(&upstream.instance);
             Entry {
-                account: account.unwrap_or_default(),
+                state: state.unwrap_or_default(),
                 upstream,
             }
         });
         self.entries = entries.collect();
-        self.index();
+        self.rebuild_indices();
     }
 
-    /// Takes an upstream out. True if it was there.
+    /// Removes an upstream. Returns whether it was present.
     pub fn remove(&mut self, upstream: &id::Instance) -> bool {
-        let Some(place) = self.find(upstream) else {
+        let Some(index) = self.index_of(upstream) else {
             return false;
         };
-        self.entries.remove(place);
-        self.index();
+        self.entries.remove(index);
+        self.rebuild_indices();
         true
     }
 
-    /// The place of an upstream.
-    pub fn find(&self, upstream: &id::Instance) -> Option<usize> {
-        self.places.get(upstream).copied()
+    pub fn index_of(&self, upstream: &id::Instance) -> Option<usize> {
+        self.by_instance.get(upstream).copied()
     }
 
-    /// A host holds a slot of the upstream at a place.
-    pub fn note_holder(&mut self, place: usize, holder: SocketAddr) {
-        self.held.entry(holder).or_default().insert(place);
+    /// Records that a host holds a lease at the upstream with this index.
+    pub fn add_holder(&mut self, index: usize, holder: SocketAddr) {
+        self.by_holder.entry(holder).or_default().insert(index);
     }
 
-    /// The place of the upstream that a lease in force is for.
-    pub fn granted(&self, holder: SocketAddr, lease: lease::Id) -> Option<usize> {
-        let mut places = self.held.get(&holder)?.iter().copied();
-        places.find(|place| self.entries[*place].account.grants.has(holder, lease))
+    /// Returns the index of the upstream that an active lease is for.
+    pub fn index_of_lease(&self, holder: SocketAddr, lease: lease::Id) -> Option<usize> {
+        let mut indices = self.by_holder.get(&holder)?.iter().copied();
+        indices.find(|index| self.entries[*index].state.grants.contains(holder, lease))
     }
 
-    /// Drops a host's leases that its list, made before lease `next`, does not name any more.
-    pub fn keep(&mut self, holder: SocketAddr, next: lease::Id, held: &[Held]) {
-        let Some(places) = self.held.get_mut(&holder) else {
+    /// Removes those leases of a host that are missing from its list of holdings, see [`Grants::retain_held`].
+    ///
+    /// [`Grants::retain_held`]: crate::grants::Grants::retain_held
+    pub fn retain_held(&mut self, holder: SocketAddr, next: lease::Id, held: &[Held]) {
+        let Some(indices) = self.by_holder.get_mut(&holder) else {
             return;
         };
-        places.retain(|place| {
-            let grants = &mut self.entries[*place].account.grants;
-            grants.keep(holder, next, held);
+        indices.retain(|index| {
+            let grants = &mut self.entries[*index].state.grants;
+            grants.retain_held(holder, next, held);
             grants.has_holder(holder)
         });
-        if places.is_empty() {
-            self.held.remove(&holder);
+        if indices.is_empty() {
+            self.by_holder.remove(&holder);
         }
     }
 
-    fn index(&mut self) {
-        self.places.clear();
-        self.held.clear();
-        for (place, entry) in self.entries.iter().enumerate() {
-            self.places.insert(entry.upstream.instance.clone(), place);
-            for holder in entry.account.grants.holders() {
-                self.held.entry(holder).or_default().insert(place);
+    fn rebuild_indices(&mut self) {
+        self.by_instance.clear();
+        self.by_holder.clear();
+        for (index, entry) in self.entries.iter().enumerate() {
+            self.by_instance.insert(entry.upstream.instance.clone(), index);
+            for holder in entry.state.grants.holders() {
+                self.by_holder.entry(holder).or_default().insert(index);
             }
         }
     }
--- a/crates/tinbank-allocator/src/entry.rs
+++ b/crates/tinbank-allocator/src/entry.rs
@@ -6,51 +6,51 @@
     allocator::Upstream, frame::SlotRequest, grants::Grants, health::Health, slow_start::SlowStart,
 };
 
-/// By how much reports of upstreams lag: the platform says some hundred milliseconds. With half a second all that was
-/// granted meanwhile counted as work of lost hosts, and slots seemed taken that were free.
+/// Lag of the load reports of upstreams. Leases granted within it may be missing from a report; if it is set too long,
+/// requests of recent leases count as orphaned and free slots seem taken.
 const REPORT_LAG: Duration = Duration::from_millis(200);
 
-/// An upstream that is dealt out, with what is known of it.
+/// An upstream and its allocation state.
 #[derive(Debug)]
 pub(crate) struct Entry {
     pub upstream: Upstream,
-    pub account: Account,
+    pub state: UpstreamState,
 }
 
-/// What is known of an upstream beside its place.
+/// The allocation state of an upstream, which is kept when its entry in the list changes.
 #[derive(Debug, Default)]
-pub(crate) struct Account {
+pub(crate) struct UpstreamState {
     pub grants: Grants,
     pub health: Health,
-    /// Requests that the upstream works on and that no known lease is for: those of hosts that were lost.
-    pub foreign: Option<usize>,
+    /// Requests that the upstream processes without a known lease: those of hosts that were lost.
+    pub orphaned: Option<usize>,
     pub slow_start: SlowStart,
 }
 
-impl Account {
-    /// Takes in how many requests the upstream says that it has.
-    pub fn reported(&mut self, requests: usize, now: Instant) {
-        let foreign = requests.saturating_sub(self.grants.older_than(REPORT_LAG, now));
-        self.foreign = Some(self.foreign.map_or(foreign, |before| before.min(foreign)));
+impl UpstreamState {
+    /// Records how many requests the upstream reports.
+    pub fn record_load(&mut self, requests: usize, now: Instant) {
+        let orphaned = requests.saturating_sub(self.grants.count_older_than(REPORT_LAG, now));
+        self.orphaned = Some(self.orphaned.map_or(orphaned, |before| before.min(orphaned)));
     }
 }
 
 impl Entry {
-    /// Requests that the upstream works on, as far as is known.
+    /// Returns the number of requests that the upstream is known to process.
     pub fn load(&self) -> usize {
-        self.account.grants.len() + self.account.foreign.unwrap_or(0)
+        self.state.grants.len() + self.state.orphaned.unwrap_or(0)
     }
 
-    /// True if a slot can be taken back from batch.
-    pub fn runs_batch(&self) -> bool {
-        self.account.grants.last_due().is_some()
+    /// Returns whether a slot can be reclaimed from batch.
+    pub fn has_batch(&self) -> bool {
+        self.state.grants.last_due().is_some()
     }
 
-    /// True if the upstream may get the request.
-    pub fn takes(&self, ask: &SlotRequest, now: Instant) -> bool {
-        self.upstream.service == ask.service
-            && !ask.exclude.contains(&self.upstream.instance)
-            && !self.account.health.ejected(now)
-            && self.account.slow_start.allows(self.upstream.cold, now)
+    /// Returns whether the request may be sent to this upstream.
+    pub fn accepts(&self, request: &SlotRequest, now: Instant) -> bool {
+        self.upstream.service == request.service
+            && !request.exclude.contains(&self.upstream.instance)
+            && !self.state.health.is_ejected(now)
+            && self.state.slow_start.allows_request(self.upstream.cold, now)
     }
 }
--- a/crates/tinbank-allocator/src/frame.rs
+++ b/crates/tinbank-allocator/src/frame.rs
@@ -1,4 +1,4 @@
-//! Datagrams between the hosts that ask for slots and the allocators that grant them.
+//! Datagrams between the hosts that request slots and the allocators that grant them.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -12,64 +12,64 @@
 
 /// First byte of each datagram; a host ignores datagrams of another version.
 const VERSION: u8 = 5;
-/// Largest datagram in bytes. Source: the holdings of a host with 200 requests at upstreams; most fit in one packet.
+/// Maximum datagram size in bytes. Holds the holdings of a host with 200 leases; most datagrams fit in one packet.
 pub const MAX_DATAGRAM_BYTES: usize = 8 << 10;
 
-/// A datagram that can't be understood.
+/// Failure to encode or decode a datagram.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The first byte names another version.
-    #[error("datagram of version {found:?}, this host speaks {VERSION}")]
+    #[error("unsupported datagram version {found:?}, expected {VERSION}")]
     Version {
-        /// Version found, if there is any byte.
+        /// Version found, unless the datagram is empty.
         found: Option<u8>,
     },
-    /// The rest is no frame.
-    #[error("datagram is no frame: {0}")]
+    /// The contents can't be encoded or decoded.
+    #[error("malformed datagram: {0}")]
     Malformed(#[from] postcard::Error),
 }
 
 /// A message between hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Frame {
-    /// A host asks for a slot.
+    /// A host requests a slot.
     SlotRequest(SlotRequest),
-    /// The allocator's answer.
+    /// The allocator's response.
     SlotResponse(SlotResponse),
-    /// A host gives a slot back.
+    /// A host returns a slot.
     Release(Release),
-    /// A request waits for a slot no more.
+    /// A request no longer waits for a slot.
     Withdraw(lease::Id),
-    /// The allocator takes a slot back from a batch item.
+    /// The allocator reclaims a slot from a batch item.
     Reclaim(lease::Id),
-    /// What a host holds in the allocator's failure domain; also the host's heartbeat.
+    /// What a host holds in the allocator's failure domain, which is also its heartbeat.
     Holdings(Holdings),
-    /// The allocator has heard the holdings; also its heartbeat.
+    /// Reply to [`Frame::Holdings`] or [`Frame::Ping`].
     HeartbeatReply(HeartbeatReply),
-    /// What another allocator has let in of customers.
+    /// How many requests of each customer another allocator has admitted.
     Counts(Counts),
-    /// A host asks a delegate that is not its allocator for a heartbeat.
+    /// Requests a heartbeat reply from a host that is not sent any holdings.
     Ping,
-    /// What a host has seen of requests that end upstreams.
+    /// A host's observations of requests that crash upstreams.
     Quarantine(News),
 }
 
 /// A request for one slot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotRequest {
-    /// Number that the asking host gives the lease.
+    /// Number assigned to the lease by the requesting host.
     pub lease: lease::Id,
     /// What the slot is for.
     pub class: lease::Class,
-    /// Service whose upstreams can run the request.
+    /// Service whose upstreams can process the request.
     pub service: id::Service,
-    /// Upstreams that this request must not get.
+    /// Upstreams that must not be granted.
     pub exclude: SmallVec<[id::Instance; 4]>,
     /// What to do if all slots are in use.
     pub queue: Queue,
-    /// Rank among online requests that wait; 0 is the highest.
+    /// Rank among queued online requests; 0 is the highest.
     pub rank: u8,
-    /// Whose allowance the request is counted against, unless it was counted before or nobody's is.
+    /// Customer whose allowance the request counts against. `None` if it was counted before or is not limited.
     pub meter: Option<Meter>,
 }
 
@@ -78,74 +78,74 @@
 pub struct Meter {
     /// The customer.
     pub customer: id::Customer,
-    /// Its limit, by the configuration of the asking host: the allocator's may be an older one.
+    /// Its limit by the requesting host's configuration, since the allocator's may be older.
     pub limit: Limit,
 }
 
-/// What becomes of a request if all slots are in use. Times are in milliseconds.
+/// What to do with a request if all slots are in use. Times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Queue {
-    /// It gets none.
+    /// Deny it.
     No,
-    /// It may wait for a slot for this long: it can be in time.
+    /// Queue it at the allocator for up to this time; it can be on time.
     Within(u32),
-    /// It may wait for this long for a slot that no request that can be in time waits for.
+    /// Queue it at the allocator for up to this time, behind all requests that can be on time.
     LowPriority(u32),
-    /// It may be sent to an upstream whose slots are all in use, and wait inside it.
+    /// Grant an upstream whose slots are all in use, inside which the request queues.
     InUpstream,
 }
 
 impl Queue {
-    /// How long the request may wait at the allocator.
+    /// Returns how long the request may wait at the allocator.
     pub fn max_wait(self) -> Option<Duration> {
         match self {
-            Self::Within(patience_ms) | Self::LowPriority(patience_ms) => {
-                Some(Duration::from_millis(patience_ms.into()))
+            Self::Within(max_wait_ms) | Self::LowPriority(max_wait_ms) => {
+                Some(Duration::from_millis(max_wait_ms.into()))
             }
             Self::No | Self::InUpstream => None,
         }
     }
 }
 
-/// An answer to an [`SlotRequest`].
+/// Response to a [`SlotRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotResponse {
-    /// The lease asked for.
+    /// The requested lease.
     pub lease: lease::Id,
-    /// What becomes of it.
+    /// The allocator's decision.
     pub verdict: Verdict,
 }
 
-/// What an allocator says to an [`SlotRequest`].
+/// Decision on a [`SlotRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// There is a slot.
+    /// A slot is granted.
     Granted(Grant),
-    /// The request waits for one, and will be told of it.
+    /// The request is queued; another response follows.
     Waiting,
-    /// The failure domain has no slot for it, or none in time.
+    /// The failure domain has no slot for the request, or none in time.
     Denied,
-    /// The request's customer has used up its allowance.
+    /// The customer has used up its allowance.
     OverLimit(OverLimit),
 }
 
-/// A customer above its limit. Times are in milliseconds.
+/// A customer above its limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OverLimit {
-    /// When the request may come again.
+    /// Time in milliseconds after which the request may be retried.
     pub retry_after_ms: u32,
-    /// What is left of the allowance by the allocator's count, in thousandths of a request.
+    /// Remaining allowance by the allocator's count, in thousandths of a request.
     pub level_milli: i64,
 }
 
-/// An upstream at which the asking host may start one request.
+/// Permission to start one request at an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
     /// The upstream.
     pub upstream: id::Instance,
     /// Where it listens.
     pub address: SocketAddr,
-    /// All its slots are in use, or may be, so the request may wait inside it at first.
+    /// All its slots may be in use, so the request may queue inside it at first.
     pub queued: bool,
 }
 
@@ -156,34 +156,34 @@
     pub lease: lease::Id,
     /// The upstream it was for.
     pub upstream: id::Instance,
-    /// How the request ended, which tells about the upstream's health.
+    /// Outcome of the request, which indicates the upstream's health.
     pub outcome: lease::Outcome,
 }
 
-/// What an allocator says of its host in its heartbeat.
+/// Status of a host, sent in reply to a heartbeat.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatReply {
-    /// It has read the platform's store a moment ago, so hosts that can't may pass calls on to it.
+    /// It has read the platform's store recently, so hosts that can't may forward calls to it.
     pub reaches_store: bool,
 }
 
 /// All leases that a host holds in one failure domain.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holdings {
-    /// Leases from this number on were not asked for yet when the list was made.
+    /// Leases from this number on had not been requested when the list was made.
     pub next: lease::Id,
     /// The leases.
     pub held: Vec<lease::Held>,
 }
 
 impl Frame {
-    /// The datagram of a frame.
+    /// Encodes the frame as a datagram.
     pub fn encode(&self) -> Result<Vec<u8>, Error> {
         let head = Vec::from([VERSION]);
         Ok(postcard::to_extend(self, head)?)
     }
 
-    /// The frame of a datagram.
+    /// Decodes a datagram.
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
         match bytes.split_first() {
             Some((&VERSION, rest)) => Ok(postcard::from_bytes(rest)?),
--- a/crates/tinbank-allocator/src/grants.rs
+++ b/crates/tinbank-allocator/src/grants.rs
@@ -1,4 +1,4 @@
-//! The leases in force at one upstream.
+//! The active leases at one upstream.
 
 use std::{
     net::SocketAddr,
@@ -7,14 +7,14 @@
 
 use crate::lease::{self, Class, Due};
 
-/// A lease in force.
+/// An active lease.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Grant {
     pub holder: SocketAddr,
     pub lease: lease::Id,
     pub class: Class,
-    pub until: Instant,
-    /// When an online lease was granted here, to measure how long it takes.
+    pub expires_at: Instant,
+    /// When this allocator granted an online lease, to measure how long it holds its slot.
     pub granted_at: Option<Instant>,
 }
 
@@ -36,30 +36,30 @@
         self.0.len()
     }
 
-    /// Leases that were not granted within the last `age`.
-    pub fn older_than(&self, age: Duration, now: Instant) -> usize {
+    /// Returns the number of leases that were not granted within the last `age`.
+    pub fn count_older_than(&self, age: Duration, now: Instant) -> usize {
         let grants = self.0.iter();
         let older = grants.filter(|it| it.granted_at.is_none_or(|at| now >= at + age));
         older.count()
     }
 
-    /// True if a lease is in force here.
-    pub fn has(&self, holder: SocketAddr, lease: lease::Id) -> bool {
+    /// Returns whether a lease is active here.
+    pub fn contains(&self, holder: SocketAddr, lease: lease::Id) -> bool {
         let same = |grant: &Grant| grant.holder == holder && grant.lease == lease;
         self.0.iter().any(same)
     }
 
-    /// True if a host has a lease here.
+    /// Returns whether a host has a lease here.
     pub fn has_holder(&self, holder: SocketAddr) -> bool {
         self.0.iter().any(|grant| grant.holder == holder)
     }
 
-    /// The hosts that have leases here, once for each of them.
+    /// Returns the holder of each lease; a host with several leases appears several times.
     pub fn holders(&self) -> impl Iterator<Item = SocketAddr> {
         self.0.iter().map(|grant| grant.holder)
     }
 
-    /// Adds a lease, or renews it.
+    /// Adds or renews a lease. Renewing keeps the original `granted_at`.
     pub fn add(&mut self, grant: Grant) {
         let known = self.remove(grant.holder, grant.lease);
         let granted_at = known.and_then(|known| known.granted_at);
@@ -69,14 +69,13 @@
         });
     }
 
-    /// Removes a lease, if there is one.
     pub fn remove(&mut self, holder: SocketAddr, lease: lease::Id) -> Option<Grant> {
         let same = |grant: &Grant| grant.holder == holder && grant.lease == lease;
         let index = self.0.iter().position(same)?;
         Some(self.0.swap_remove(index))
     }
 
-    /// Takes back the batch lease that is due last.
+    /// Removes the batch lease with the latest due time.
     pub fn reclaim(&mut self) -> Option<Grant> {
         let (last, _) = self
             .0
@@ -87,19 +86,20 @@
         Some(self.0.remove(last))
     }
 
-    /// When the batch lease that is due last is due.
+    /// Returns the latest due time of the batch leases.
     pub fn last_due(&self) -> Option<Due> {
         self.0.iter().filter_map(Grant::due).max()
     }
 
-    /// Drops those whose time is up. When the time of the next one is.
-    pub fn expire(&mut self, now: Instant) -> Option<Instant> {
-        self.0.retain(|grant| now < grant.until);
-        self.0.iter().map(|grant| grant.until).min()
+    /// Removes expired leases. Returns when the next one expires.
+    pub fn remove_expired(&mut self, now: Instant) -> Option<Instant> {
+        self.0.retain(|grant| now < grant.expires_at);
+        self.0.iter().map(|grant| grant.expires_at).min()
     }
 
-    /// Drops a holder's leases that its list, made before lease `next`, does not name any more.
-    pub fn keep(&mut self, holder: SocketAddr, next: lease::Id, held: &[lease::Held]) {
+    /// Removes those leases of a host that are missing from its list of holdings. Leases from `next` on are kept, since
+    /// they were requested after the list was made.
+    pub fn retain_held(&mut self, holder: SocketAddr, next: lease::Id, held: &[lease::Held]) {
         self.0.retain(|grant| {
             grant.holder != holder
                 || grant.lease >= next
--- a/crates/tinbank-allocator/src/lease.rs
+++ b/crates/tinbank-allocator/src/lease.rs
@@ -3,35 +3,34 @@
 use serde::{Deserialize, Serialize};
 use tinbank_base::id;
 
-/// Number of a lease, given by the host that asks for it and rising with each ask.
+/// Number of a lease, assigned by the requesting host and increasing with each request.
 pub type Id = u64;
 
-/// When a batch item is due. The greatest one gives way first.
+/// When a batch item is due. The item with the greatest value is preempted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Due {
-    /// It can't be done by then any more, so it gives way to all that can.
+    /// The item can't meet its due time, so all items that can take precedence.
     pub late: bool,
-    /// Milliseconds since 1970.
+    /// Unix time in milliseconds.
     pub at_ms: u64,
 }
 
 /// What a slot is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Class {
-    /// A caller waits for the answer.
+    /// A request whose caller waits for the response.
     Online,
-    /// A batch item; it gives way to online requests.
+    /// A batch item, which online requests may preempt.
     Batch(Due),
 }
 
 impl Class {
-    /// True for batch items.
     pub fn is_batch(self) -> bool {
         matches!(self, Self::Batch(_))
     }
 }
 
-/// A lease as its holder tells it.
+/// A lease as reported by its holder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Held {
     /// The lease.
@@ -42,19 +41,19 @@
     pub class: Class,
 }
 
-/// How the request under a lease ended, as far as it says something about the upstream.
+/// Outcome of the request under a lease, as far as it indicates the health of the upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The upstream answered as it should.
+    /// The upstream responded as expected.
     Served,
-    /// The request ended for a reason that says nothing about the upstream.
+    /// The request ended for a reason unrelated to the upstream's health.
     Inconclusive,
-    /// The upstream refused the request without running it.
+    /// The upstream refused the request without processing it.
     Refused,
-    /// The upstream answered with an error of its own, or broke its answer off.
+    /// The upstream responded with an error of its own, or aborted its response.
     Failed,
-    /// The upstream could not be reached, or fell silent.
+    /// The upstream could not be reached, or stopped responding.
     Unresponsive,
-    /// The upstream is leaving or gone, by a newer list than the allocator has.
+    /// The upstream is leaving or gone, by a newer list than the allocator's.
     Leaving,
 }
--- a/crates/tinbank-allocator/src/lib.rs
+++ b/crates/tinbank-allocator/src/lib.rs
@@ -1,8 +1,8 @@
-//! Deals the slots of upstreams out to hosts, online requests before batch items.
+//! Allocates the slots of upstreams to hosts, online requests before batch items.
 //!
-//! Upstreams know no priorities, so what waits inside one delays every request behind it. Therefore one host of each
-//! failure domain, the allocator, says who may start a request at which upstream. All of it is soft state: a lost or
-//! doubled allocator costs speed, never correctness. See `docs/design/users-platform.md`.
+//! Upstreams do not prioritize, so a request that queues inside one delays every request behind it. One host per failure
+//! domain, the allocator, therefore decides which requests may start at which upstream. All of its state is soft: a lost
+//! or duplicate allocator reduces throughput but never correctness. See `docs/design/users-platform.md`.
 
 pub mod admission;
 pub mod allocator;
@@ -14,8 +14,8 @@
 mod grants;
 mod health;
 pub mod lease;
-pub mod smoothed_duration;
 pub mod slow_start;
+pub mod smoothed_duration;
 mod waiting;
 
 pub use allocator::Allocator;
--- a/crates/tinbank-allocator/src/slow_start.rs
+++ b/crates/tinbank-allocator/src/slow_start.rs
@@ -1,61 +1,60 @@
-//! How fast an upstream that has just started, or has had nothing to do, gets requests.
+//! Limits the request rate of an upstream that has just started or has been idle.
 //!
-//! While it is cold it bears a few requests a second, and falls over far above that. Its load does not tell: it has free slots.
+//! A cold upstream handles only a few requests per second and crashes well above that, although its slots are free.
 
 use std::{
     collections::VecDeque,
     time::{Duration, Instant},
 };
 
-/// The time over which starts are counted. Source: a second by which the bound is stated, and what requests may be early or late on
-/// their way.
+/// Time over which requests are counted: the second that the rate refers to, plus jitter on the way to the upstream.
 const WINDOW: Duration = Duration::from_millis(1_200);
-/// Part of what a cold upstream bears that one allocator gives it, in percent. Source: for a while there may be two, of which
-/// neither knows of the other; together they stay within half as much again.
+/// Percentage of a cold upstream's rate that one allocator uses, since two allocators may be active for a while without
+/// knowledge of each other.
 const SHARE_PERCENT: u32 = 75;
 
-/// Until when an upstream is cold, and what it bears.
+/// Rate limit of a cold upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ColdStart {
-    /// From then on it bears what its slots say.
+    /// When the upstream is warm, and limited by its slots only.
     pub until: Instant,
-    /// Requests a second that it bears until then.
+    /// Requests per second that it handles until then.
     pub per_second: u32,
 }
 
-/// The requests that a cold upstream was given lately.
+/// The recent requests of a cold upstream.
 #[derive(Debug, Default)]
 pub(crate) struct SlowStart {
-    given: VecDeque<Instant>,
-    /// What another allocator gave it before may still count until then.
+    recent: VecDeque<Instant>,
+    /// Until then, requests that another allocator granted before may still count against the rate.
     unknown_until: Option<Instant>,
 }
 
 impl SlowStart {
-    /// True if the upstream bears one more request now.
-    pub fn allows(&self, cold: Option<ColdStart>, now: Instant) -> bool {
+    /// Returns whether the upstream can handle one more request now.
+    pub fn allows_request(&self, cold: Option<ColdStart>, now: Instant) -> bool {
         let Some(cold) = cold.filter(|it| now < it.until) else {
             return true;
         };
         if self.unknown_until.is_some_and(|until| now < until) {
             return false;
         }
-        let most = (cold.per_second * SHARE_PERCENT / 100).max(1);
-        let given = self.given.iter().rev();
-        let lately = given.take_while(|at| now < **at + WINDOW).count();
-        lately < most as usize
+        let limit = (cold.per_second * SHARE_PERCENT / 100).max(1);
+        let recent = self.recent.iter().rev();
+        let in_window = recent.take_while(|at| now < **at + WINDOW).count();
+        in_window < limit as usize
     }
 
-    /// The upstream was given a request.
-    pub fn note(&mut self, now: Instant) {
-        while self.given.front().is_some_and(|at| now >= *at + WINDOW) {
-            self.given.pop_front();
+    /// Records that a request was granted.
+    pub fn record_request(&mut self, now: Instant) {
+        while self.recent.front().is_some_and(|at| now >= *at + WINDOW) {
+            self.recent.pop_front();
         }
-        self.given.push_back(now);
+        self.recent.push_back(now);
     }
 
-    /// The allocator does not know what the upstream was given before.
-    pub fn forget(&mut self, now: Instant) {
+    /// Blocks requests for one window, because the allocator does not know which ones were granted before.
+    pub fn reset(&mut self, now: Instant) {
         self.unknown_until = Some(now + WINDOW);
     }
 }
--- a/crates/tinbank-allocator/src/smoothed_duration.rs
+++ b/crates/tinbank-allocator/src/smoothed_duration.rs
@@ -1,18 +1,18 @@
-//! How long online requests take, smoothed.
+//! A duration smoothed by an exponentially weighted moving average.
 
 use std::time::Duration;
 
-/// What is assumed before the first request has ended: nobody is turned away on a guess.
-const UNKNOWN: Duration = Duration::ZERO;
-/// Weight of the newest request, one part in so many: a change shows within a second or two.
+/// Value before the first measurement: requests are not refused on a guess.
+const UNMEASURED: Duration = Duration::ZERO;
+/// The newest measurement has a weight of one in this many.
 const SMOOTHING: u32 = 16;
 
-/// A smoothed time, such as that for which an online request holds its slot.
+/// A smoothed duration, such as the time for which an online request holds its slot.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SmoothedDuration(Option<Duration>);
 
 impl SmoothedDuration {
-    /// Takes in a request that was served.
+    /// Records a measurement.
     pub fn record(&mut self, took: Duration) {
         self.0 = Some(match self.0 {
             None => took,
@@ -20,13 +20,13 @@
         });
     }
 
-    /// The smoothed time, if any was taken in.
+    /// Returns the smoothed duration, or `None` before the first measurement.
     pub fn get(self) -> Option<Duration> {
         self.0
     }
 
-    /// The smoothed time, or none at all.
+    /// Returns the smoothed duration, or zero before the first measurement.
     pub fn get_or_zero(self) -> Duration {
-        self.0.unwrap_or(UNKNOWN)
+        self.0.unwrap_or(UNMEASURED)
     }
 }
--- a/crates/tinbank-allocator/src/waiting.rs
+++ b/crates/tinbank-allocator/src/waiting.rs
@@ -1,8 +1,7 @@
-//! Online requests that wait at the allocator until a slot comes free.
+//! Online requests that wait at the allocator for a slot.
 //!
-//! It answers a load that fills all slots for a moment. A request that waits inside one upstream gets the next slot of that
-//! upstream only, and upstreams know no order: of those that were let in for two thirds of a 300 ms target a quarter came
-//! late. One that waits here gets the next slot of any upstream, which comes free many times as often.
+//! A request that queues inside an upstream gets the next slot of that upstream only, in arrival order. One that queues
+//! here gets the next slot of any upstream, so it waits less and more requests meet their target.
 
 use std::{
     net::SocketAddr,
@@ -14,83 +13,79 @@
     lease,
 };
 
-/// A request that waits.
+/// A queued request.
 #[derive(Clone, Debug)]
 pub(crate) struct Waiter {
     pub from: SocketAddr,
-    pub ask: SlotRequest,
-    /// When it has to be told that there is no slot for it.
-    until: Instant,
+    pub request: SlotRequest,
+    expires_at: Instant,
 }
 
 impl Waiter {
-    fn place(&self) -> Place {
-        place(&self.ask, self.until)
+    fn position(&self) -> Position {
+        position(&self.request, self.expires_at)
     }
 }
 
-/// Where a request stands among those that wait: a late one or not, its rank, and when its time is up.
-type Place = (bool, u8, Instant);
+/// Sort key of the queue: whether the request is a low-priority one, its rank, and when it expires.
+type Position = (bool, u8, Instant);
 
-/// Those that can be in time come first, among them those of higher rank, and among equals those whose time is up first. A
-/// late one of high rank stands behind: it would make one late that is not.
-fn place(ask: &SlotRequest, until: Instant) -> Place {
-    (matches!(ask.queue, Queue::LowPriority(_)), ask.rank, until)
+/// Orders requests that can be on time before late ones, then by rank, then by expiry. A late request of high rank comes
+/// behind, since it would make another one late.
+fn position(request: &SlotRequest, expires_at: Instant) -> Position {
+    (matches!(request.queue, Queue::LowPriority(_)), request.rank, expires_at)
 }
 
-/// All requests that wait, those that get a slot next first.
+/// All queued requests, the next one to be served first.
 #[derive(Debug, Default)]
-pub(crate) struct Waiting(Vec<Waiter>);
+pub(crate) struct WaitQueue(Vec<Waiter>);
 
-impl Waiting {
-    /// Takes a request in.
-    pub fn add(&mut self, from: SocketAddr, ask: SlotRequest, patience: Duration, now: Instant) {
+impl WaitQueue {
+    pub fn add(&mut self, from: SocketAddr, request: SlotRequest, max_wait: Duration, now: Instant) {
         let waiter = Waiter {
             from,
-            ask,
-            until: now + patience,
+            request,
+            expires_at: now + max_wait,
         };
-        let place = self.0.partition_point(|it| it.place() <= waiter.place());
-        self.0.insert(place, waiter);
+        let index = self.0.partition_point(|it| it.position() <= waiter.position());
+        self.0.insert(index, waiter);
     }
 
-    /// True if the request waits already.
-    pub fn has(&self, from: SocketAddr, lease: lease::Id) -> bool {
-        let same = |it: &Waiter| it.from == from && it.ask.lease == lease;
+    /// Returns whether the request is queued already.
+    pub fn contains(&self, from: SocketAddr, lease: lease::Id) -> bool {
+        let same = |it: &Waiter| it.from == from && it.request.lease == lease;
         self.0.iter().any(same)
     }
 
-    /// Takes a request out that waits no more.
     pub fn remove(&mut self, from: SocketAddr, lease: lease::Id) {
-        self.0.retain(|it| it.from != from || it.ask.lease != lease);
+        self.0.retain(|it| it.from != from || it.request.lease != lease);
     }
 
-    /// Takes out those for which something does not hold.
+    /// Removes and returns the requests for which the predicate does not hold.
     pub fn remove_unless(&mut self, holds: impl Fn(&SlotRequest) -> bool) -> Vec<Waiter> {
-        let (kept, removed) = self.take().into_iter().partition(|it| holds(&it.ask));
+        let (kept, removed) = self.take().into_iter().partition(|it| holds(&it.request));
         self.0 = kept;
         removed
     }
 
-    /// Takes out those whose time is up.
-    pub fn expire(&mut self, now: Instant) {
-        self.0.retain(|it| now < it.until);
+    pub fn remove_expired(&mut self, now: Instant) {
+        self.0.retain(|it| now < it.expires_at);
     }
 
-    /// How many requests of its service would get a slot before this one.
-    pub fn ahead_of(&self, ask: &SlotRequest, patience: Duration, now: Instant) -> usize {
-        let place = place(ask, now + patience);
-        let ahead = self.0.iter().filter(|it| it.ask.service == ask.service);
-        ahead.filter(|it| it.place() <= place).count()
+    /// Returns how many requests of the same service would be served before this one.
+    pub fn count_ahead(&self, request: &SlotRequest, max_wait: Duration, now: Instant) -> usize {
+        let position = position(request, now + max_wait);
+        let ahead = self.0.iter().filter(|it| it.request.service == request.service);
+        ahead.filter(|it| it.position() <= position).count()
     }
 
-    /// The requests that wait, in order.
+    /// Takes all queued requests, in order.
     pub fn take(&mut self) -> Vec<Waiter> {
         std::mem::take(&mut self.0)
     }
 
-    /// Puts those back that are to go on waiting, in their order.
-    pub fn put_back(&mut self, waiters: Vec<Waiter>) {
+    /// Puts back the requests that keep waiting, which must be in order.
+    pub fn restore(&mut self, waiters: Vec<Waiter>) {
         self.0 = waiters;
     }
 
--- a/crates/tinbank-allocator/tests/avoidance.rs
+++ b/crates/tinbank-allocator/tests/avoidance.rs
@@ -1,4 +1,4 @@
-//! For how long a host avoids upstreams.
+//! How long a host avoids upstreams.
 
 use std::time::{Duration, Instant};
 
@@ -8,14 +8,14 @@
 #[parameterized(
     failed = { &[Outcome::Failed], 1_400, true },
     failed_long_ago = { &[Outcome::Failed], 1_600, false },
-    silent = { &[Outcome::Unresponsive], 1_400, true },
+    unresponsive = { &[Outcome::Unresponsive], 1_400, true },
     refused = { &[Outcome::Refused], 300, true },
-    refused_a_moment_ago = { &[Outcome::Refused], 500, false },
+    refused_long_ago = { &[Outcome::Refused], 500, false },
     served_since = { &[Outcome::Failed, Outcome::Served], 0, false },
-    ended_for_another_reason_since = { &[Outcome::Failed, Outcome::Inconclusive], 0, true },
+    inconclusive_since = { &[Outcome::Failed, Outcome::Inconclusive], 0, true },
     leaving = { &[Outcome::Leaving], 0, false },
 )]
-fn an_upstream_is_avoided_after_trouble(outcomes: &[Outcome], after_ms: u64, expected: bool) {
+fn an_upstream_is_avoided_after_failures(outcomes: &[Outcome], after_ms: u64, expected: bool) {
     let now = Instant::now();
     let upstream = "u1".into();
     let mut avoidance = Avoidance::default();
--- a/crates/tinbank-allocator/tests/cold.rs
+++ b/crates/tinbank-allocator/tests/cold.rs
@@ -1,4 +1,4 @@
-//! What cold upstreams are given, over all hosts.
+//! Request rate of cold upstreams, over all hosts.
 
 use std::{
     collections::HashMap,
@@ -18,13 +18,13 @@
 use tinbank_base::id;
 use yare::parameterized;
 
-/// Requests a second that a cold upstream bears, and what the users allow beyond that.
-const BORNE: u32 = 20;
+/// Requests per second that a cold upstream handles, and the tolerance on top of that.
+const COLD_RATE: u32 = 20;
 const OVERSHOOT: f64 = 1.5;
 const SLACK: usize = 5;
-/// Requests a second that come, far more than cold upstreams bear.
-const ASKED: u32 = 400;
-const HELD: Duration = Duration::from_millis(40);
+/// Requests per second that arrive, far more than cold upstreams handle.
+const ARRIVAL_RATE: u32 = 400;
+const SLOT_TIME: Duration = Duration::from_millis(40);
 
 fn host(index: usize) -> SocketAddr {
     let [high, low] = (index as u16).to_be_bytes();
@@ -41,7 +41,7 @@
     }
 }
 
-fn ask(lease: u64) -> SlotRequest {
+fn slot_request(lease: u64) -> SlotRequest {
     SlotRequest {
         lease,
         class: Class::Online,
@@ -53,83 +53,83 @@
     }
 }
 
-/// A cold failure domain, and what its upstreams were given.
-struct Play {
+/// A failure domain of cold upstreams, and the requests granted at each of them.
+struct Simulation {
     allocators: Vec<Allocator>,
     upstreams: Vec<Upstream>,
     now: Instant,
-    next: u64,
-    given: HashMap<id::Instance, Vec<Instant>>,
+    next_lease: u64,
+    granted: HashMap<id::Instance, Vec<Instant>>,
     held: Vec<(Instant, usize, SocketAddr, Release)>,
 }
 
-impl Play {
-    /// Upstreams that stay cold for so long, dealt out by as many allocators, of which none knows of the other.
+impl Simulation {
+    /// Creates upstreams that stay cold for `cold_for`, and allocators without knowledge of each other.
     fn new(upstreams: usize, allocators: usize, cold_for: Duration) -> Self {
         let now = Instant::now();
         let cold = ColdStart {
             until: now + cold_for,
-            per_second: BORNE,
+            per_second: COLD_RATE,
         };
         let upstreams: Vec<Upstream> = (0..upstreams)
             .map(|index| upstream(index, Some(cold)))
             .collect();
-        let mut play = Self {
+        let mut simulation = Self {
             allocators: Vec::new(),
             upstreams,
             now,
-            next: 1,
-            given: HashMap::new(),
+            next_lease: 1,
+            granted: HashMap::new(),
             held: Vec::new(),
         };
-        (0..allocators).for_each(|_| play.add_allocator());
-        play
+        (0..allocators).for_each(|_| simulation.add_allocator());
+        simulation
     }
 
-    /// Another host takes over, and knows of nothing.
+    /// Adds an allocator without any state, as when another host takes over.
     fn add_allocator(&mut self) {
-        let mut allocator = Allocator::new(self.next, Tolerance::default());
+        let mut allocator = Allocator::new(self.next_lease, Tolerance::default());
         allocator.set_upstreams(self.upstreams.clone());
         self.allocators.push(allocator);
     }
 
-    /// Plays requests of so many hosts at an allocator, or at each of all in turn.
+    /// Sends requests of `hosts` hosts to the allocator `at`, or to all in turn.
     fn run(&mut self, time: Duration, hosts: usize, at: Option<usize>) {
-        let mut draw = StdRng::seed_from_u64(7);
+        let mut rng = StdRng::seed_from_u64(7);
         let until = self.now + time;
         while self.now < until {
-            self.now += Duration::from_secs(1) / ASKED;
+            self.now += Duration::from_secs(1) / ARRIVAL_RATE;
             self.release();
-            let from = host(draw.random_range(0..hosts));
-            let to = at.unwrap_or(self.next as usize % self.allocators.len());
-            if self.next.is_multiple_of(40) {
+            let from = host(rng.random_range(0..hosts));
+            let to = at.unwrap_or(self.next_lease as usize % self.allocators.len());
+            if self.next_lease.is_multiple_of(40) {
                 let holdings = Holdings {
-                    next: self.next,
+                    next: self.next_lease,
                     held: Vec::new(),
                 };
                 self.allocators[to].receive(host(hosts), Frame::Holdings(holdings), self.now);
             }
-            let lease = self.next;
-            self.next += 1;
-            let (out, _) = self.allocators[to].receive(from, Frame::SlotRequest(ask(lease)), self.now);
-            self.take(out, to, from);
+            let lease = self.next_lease;
+            self.next_lease += 1;
+            let (out, _) = self.allocators[to].receive(from, Frame::SlotRequest(slot_request(lease)), self.now);
+            self.apply(out, to, from);
         }
     }
 
-    fn take(&mut self, out: Outgoing, allocator: usize, from: SocketAddr) {
+    fn apply(&mut self, out: Outgoing, allocator: usize, from: SocketAddr) {
         for (_, frame) in out {
-            let Frame::SlotResponse(answer) = frame else {
+            let Frame::SlotResponse(response) = frame else {
                 continue;
             };
-            if let Verdict::Granted(grant) = answer.verdict {
-                let given = self.given.entry(grant.upstream.clone()).or_default();
-                given.push(self.now);
+            if let Verdict::Granted(grant) = response.verdict {
+                let granted = self.granted.entry(grant.upstream.clone()).or_default();
+                granted.push(self.now);
                 let release = Release {
-                    lease: answer.lease,
+                    lease: response.lease,
                     upstream: grant.upstream,
                     outcome: Outcome::Served,
                 };
-                self.held.push((self.now + HELD, allocator, from, release));
+                self.held.push((self.now + SLOT_TIME, allocator, from, release));
             }
         }
     }
@@ -145,82 +145,82 @@
         }
     }
 
-    /// Most requests that an upstream was given in a second.
-    fn most_in_a_second(&self) -> usize {
-        let most = |times: &Vec<Instant>| {
+    /// Returns the maximum number of requests granted at one upstream within a second.
+    fn max_per_second(&self) -> usize {
+        let max_of = |times: &Vec<Instant>| {
             let from = |at: &Instant| {
                 let within = |it: &&Instant| **it >= *at && **it < *at + Duration::from_secs(1);
                 times.iter().filter(within).count()
             };
             times.iter().map(from).max().unwrap_or_default()
         };
-        self.given.values().map(most).max().unwrap_or_default()
+        self.granted.values().map(max_of).max().unwrap_or_default()
     }
 
-    fn given(&self) -> usize {
-        self.given.values().map(Vec::len).sum()
+    fn total_granted(&self) -> usize {
+        self.granted.values().map(Vec::len).sum()
     }
 }
 
-fn allowed() -> usize {
-    (f64::from(BORNE) * OVERSHOOT) as usize + SLACK
+fn max_allowed() -> usize {
+    (f64::from(COLD_RATE) * OVERSHOOT) as usize + SLACK
 }
 
 #[parameterized(
     few = { 3, 1 },
-    a_grown_fleet = { 60, 4 },
-    a_whole_fleet = { 1_000, 8 },
+    medium_fleet = { 60, 4 },
+    large_fleet = { 1_000, 8 },
 )]
-fn cold_upstreams_get_what_they_bear_and_no_more(hosts: usize, upstreams: usize) {
-    let mut play = Play::new(upstreams, 1, Duration::from_secs(10));
+fn cold_upstreams_are_used_up_to_their_rate_limit(hosts: usize, upstreams: usize) {
+    let mut simulation = Simulation::new(upstreams, 1, Duration::from_secs(10));
 
-    play.run(Duration::from_secs(5), hosts, None);
+    simulation.run(Duration::from_secs(5), hosts, None);
 
-    assert!(play.most_in_a_second() <= BORNE as usize);
-    // They are not left idle either: each gets half of what it bears, if there is so much to do.
-    let least = (BORNE as usize / 2 * 3 * upstreams).min(ASKED as usize * 3);
-    assert!(play.given() >= least, "{}", play.given());
+    assert!(simulation.max_per_second() <= COLD_RATE as usize);
+    // Each gets at least half of its rate if enough requests arrive.
+    let minimum = (COLD_RATE as usize / 2 * 3 * upstreams).min(ARRIVAL_RATE as usize * 3);
+    assert!(simulation.total_granted() >= minimum, "{}", simulation.total_granted());
 }
 
 #[test]
-fn two_allocators_that_know_nothing_of_each_other_stay_within_the_bound() {
-    let mut play = Play::new(2, 2, Duration::from_secs(10));
+fn two_independent_allocators_stay_within_the_tolerance() {
+    let mut simulation = Simulation::new(2, 2, Duration::from_secs(10));
 
-    play.run(Duration::from_secs(5), 60, None);
+    simulation.run(Duration::from_secs(5), 60, None);
 
-    assert!(play.most_in_a_second() <= allowed());
+    assert!(simulation.max_per_second() <= max_allowed());
 }
 
 #[test]
-fn an_allocator_that_takes_over_does_not_give_the_share_of_a_second_again() {
-    let mut play = Play::new(2, 1, Duration::from_secs(20));
+fn a_new_allocator_does_not_repeat_the_requests_of_the_last_second() {
+    let mut simulation = Simulation::new(2, 1, Duration::from_secs(20));
 
-    play.run(Duration::from_secs(3), 60, Some(0));
-    for taken_over in 1..4 {
-        play.add_allocator();
-        play.run(Duration::from_secs(2), 60, Some(taken_over));
+    simulation.run(Duration::from_secs(3), 60, Some(0));
+    for replacement in 1..4 {
+        simulation.add_allocator();
+        simulation.run(Duration::from_secs(2), 60, Some(replacement));
     }
 
-    assert!(play.most_in_a_second() <= BORNE as usize);
+    assert!(simulation.max_per_second() <= COLD_RATE as usize);
 }
 
 #[test]
-fn an_upstream_that_is_warm_gets_what_its_slots_say_and_little_again_once_it_turns_cold() {
-    let mut play = Play::new(1, 1, Duration::from_secs(3));
-    play.run(Duration::from_secs(3), 60, None);
-    play.given.clear();
-    play.run(Duration::from_secs(3), 60, None);
-    let warm = play.most_in_a_second();
-    play.given.clear();
+fn a_warm_upstream_is_limited_by_its_slots_until_it_is_cold_again() {
+    let mut simulation = Simulation::new(1, 1, Duration::from_secs(3));
+    simulation.run(Duration::from_secs(3), 60, None);
+    simulation.granted.clear();
+    simulation.run(Duration::from_secs(3), 60, None);
+    let warm = simulation.max_per_second();
+    simulation.granted.clear();
 
     let cold = ColdStart {
-        until: play.now + Duration::from_secs(5),
-        per_second: BORNE,
+        until: simulation.now + Duration::from_secs(5),
+        per_second: COLD_RATE,
     };
-    play.upstreams[0].cold = Some(cold);
-    play.allocators[0].set_upstreams(play.upstreams.clone());
-    play.run(Duration::from_secs(4), 60, None);
+    simulation.upstreams[0].cold = Some(cold);
+    simulation.allocators[0].set_upstreams(simulation.upstreams.clone());
+    simulation.run(Duration::from_secs(4), 60, None);
 
-    assert!(warm > 2 * BORNE as usize, "{warm}");
-    assert!(play.most_in_a_second() <= BORNE as usize);
+    assert!(warm > 2 * COLD_RATE as usize, "{warm}");
+    assert!(simulation.max_per_second() <= COLD_RATE as usize);
 }
--- a/crates/tinbank-allocator/tests/directory.rs
+++ b/crates/tinbank-allocator/tests/directory.rs
@@ -1,4 +1,4 @@
-//! Which host is asked.
+//! Selection of allocators and delegates, and response timeouts.
 
 use std::{
     net::SocketAddr,
@@ -46,50 +46,49 @@
     directory
 }
 
-/// Misses answers of a host until it is passed over.
-fn silence(directory: &mut Directory, host: SocketAddr, now: Instant) {
+/// Records timeouts until the host is skipped.
+fn skip(directory: &mut Directory, host: SocketAddr, now: Instant) {
     directory.record_timeout(host, now);
     directory.record_timeout(host, now);
 }
 
 #[test]
-fn all_hosts_ask_the_same_one() {
+fn all_hosts_select_the_same_allocator() {
     let now = Instant::now();
     let mut other = Directory::default();
     other.set_hosts(vec![peer(3, "north"), peer(1, "north"), peer(2, "north")]);
 
-    let asked = directory().allocator("north", now);
+    let allocator = directory().allocator("north", now);
 
-    assert!(asked.is_some());
-    assert_eq!(asked, other.allocator("north", now));
+    assert!(allocator.is_some());
+    assert_eq!(allocator, other.allocator("north", now));
 }
 
 #[test]
-fn a_silent_host_is_passed_over_and_asked_again_later() {
+fn an_unresponsive_host_is_skipped_and_probed_later() {
     let now = Instant::now();
     let mut directory = directory();
     let first = directory.allocator("north", now).unwrap();
 
-    let at_first = directory.record_timeout(first, now);
-    let asked = directory.allocator("north", now).unwrap();
-    let moved = directory.record_timeout(first, now);
-    let moved_again = directory.record_timeout(first, now);
+    let skipped_at_first = directory.record_timeout(first, now);
+    let allocator = directory.allocator("north", now).unwrap();
+    let skipped = directory.record_timeout(first, now);
+    let skipped_again = directory.record_timeout(first, now);
     let second = directory.allocator("north", now).unwrap();
     let later = now + Duration::from_secs(2);
 
-    assert!(!at_first);
-    assert_eq!(asked, first);
-    assert!(moved);
-    assert!(!moved_again);
+    assert!(!skipped_at_first);
+    assert_eq!(allocator, first);
+    assert!(skipped);
+    assert!(!skipped_again);
     assert_ne!(first, second);
     assert!(directory.hosts_to_probe(now).is_empty());
     assert_eq!(directory.hosts_to_probe(later).as_slice(), [first]);
 }
 
-/// With one packet in forty lost, hosts passed over allocators some forty times a second, and each of
-/// them dealt without knowing of the others' leases.
+/// On lossy links, skipping allocators after single timeouts makes several of them grant without knowledge of each other.
 #[test]
-fn single_answers_that_are_missing_move_no_allocator() {
+fn isolated_timeouts_do_not_move_the_allocator() {
     let now = Instant::now();
     let mut directory = directory();
     let first = directory.allocator("north", now).unwrap();
@@ -103,7 +102,7 @@
 }
 
 #[test]
-fn a_host_far_away_is_waited_for_longer() {
+fn the_response_timeout_grows_with_the_round_trip_time() {
     let mut now = Instant::now();
     let mut directory = directory();
     let (near, far) = (peer(1, "north").address, peer(4, "south").address);
@@ -122,7 +121,7 @@
 }
 
 #[test]
-fn a_late_answer_makes_nobody_wait_for_long() {
+fn the_response_timeout_is_bounded() {
     let now = Instant::now();
     let mut directory = directory();
     let host = peer(1, "north").address;
@@ -134,27 +133,27 @@
 }
 
 #[test]
-fn a_host_that_is_heard_counts_at_once() {
+fn a_host_that_sends_a_datagram_is_no_longer_skipped() {
     let now = Instant::now();
     let mut directory = directory();
     let first = directory.allocator("north", now).unwrap();
-    silence(&mut directory, first, now);
+    skip(&mut directory, first, now);
 
-    let was_silent = directory.record_datagram(first);
+    let was_skipped = directory.record_datagram(first);
 
-    assert!(was_silent);
+    assert!(was_skipped);
     assert_eq!(directory.allocator("north", now), Some(first));
 }
 
 #[test]
-fn each_silence_is_passed_over_for_longer() {
+fn an_unresponsive_host_is_skipped_for_longer_each_time() {
     let mut now = Instant::now();
     let mut directory = directory();
     let first = directory.allocator("north", now).unwrap();
-    silence(&mut directory, first, now);
+    skip(&mut directory, first, now);
     now += Duration::from_secs(2);
 
-    // It was not heard since, so one more is enough.
+    // No datagram arrived since, so one more timeout is enough.
     directory.record_timeout(first, now);
 
     assert!(directory.hosts_to_probe(now + Duration::from_secs(3)).is_empty());
@@ -162,7 +161,7 @@
 }
 
 #[test]
-fn the_own_failure_domain_comes_first_and_the_others_in_turn() {
+fn the_own_failure_domain_comes_first_and_the_others_rotate() {
     let directory = directory();
 
     let one = directory.failure_domains("north", 0);
@@ -173,32 +172,32 @@
 }
 
 #[test]
-fn a_failure_domain_without_a_host_that_answers_has_no_allocator() {
+fn a_failure_domain_without_responsive_hosts_has_no_allocator() {
     let now = Instant::now();
     let mut directory = directory();
-    silence(&mut directory, peer(4, "south").address, now);
+    skip(&mut directory, peer(4, "south").address, now);
 
-    let asked = directory.allocator("south", now);
+    let allocator = directory.allocator("south", now);
 
-    assert_eq!(asked, None);
+    assert_eq!(allocator, None);
 }
 
 #[test]
-fn the_allocators_are_one_of_each_failure_domain() {
+fn there_is_one_allocator_per_failure_domain() {
     let now = Instant::now();
     let mut directory = directory();
     let before = directory.allocators(now);
 
-    silence(&mut directory, peer(5, "west").address, now);
+    skip(&mut directory, peer(5, "west").address, now);
     let after = directory.allocators(now);
 
     assert_eq!(before.len(), 3);
     assert_eq!(after.as_slice(), &before[..2]);
 }
 
-/// A weak host that was the allocator of 31 upstreams answered so late that all hosts took it for silent.
+/// A weak host that is the allocator of many upstreams responds too late and is taken for unresponsive.
 #[test]
-fn hosts_that_can_carry_most_act_for_their_failure_domain() {
+fn the_hosts_with_the_most_capacity_are_delegates() {
     let now = Instant::now();
     let weak = (1..=40).map(|index| peer_with(index, "north", WEAK));
     let strong = (41..=43).map(|index| peer(index, "north"));
@@ -216,7 +215,7 @@
 }
 
 #[test]
-fn hosts_that_differ_little_are_equals() {
+fn hosts_of_similar_capacity_rank_equally() {
     let now = Instant::now();
     let mut first = Vec::new();
     for index in 1..=20 {
@@ -237,14 +236,14 @@
 }
 
 #[test]
-fn the_next_hosts_take_over_from_delegates_that_are_silent() {
+fn unresponsive_delegates_are_replaced() {
     let now = Instant::now();
     let mut directory = Directory::default();
     directory.set_hosts((1..=9).map(|index| peer(index, "north")).collect());
     let before: Vec<SocketAddr> = addresses(&directory, now);
 
     for host in &before {
-        silence(&mut directory, *host, now);
+        skip(&mut directory, *host, now);
     }
 
     let after = addresses(&directory, now);
@@ -257,16 +256,16 @@
     delegates.iter().map(|peer| peer.address).collect()
 }
 
-/// Hosts notice each for itself that an allocator is lost. The one that takes over has to be told what customers use by those
-/// that have not noticed yet.
+/// Hosts notice the loss of an allocator at different times, so its replacement must receive counts from the others
+/// before.
 #[test]
-fn the_host_that_takes_over_is_told_by_those_that_have_not_noticed() {
+fn the_replacement_of_a_lost_allocator_already_receives_counts() {
     let now = Instant::now();
     let unaware = directory();
     let mut aware = directory();
     let lost = aware.allocator("north", now).unwrap();
 
-    silence(&mut aware, lost, now);
+    skip(&mut aware, lost, now);
 
     let next = aware.allocator("north", now).unwrap();
     assert_ne!(next, lost);
--- a/crates/tinbank-allocator/tests/frame.rs
+++ b/crates/tinbank-allocator/tests/frame.rs
@@ -1,4 +1,4 @@
-//! Datagrams.
+//! Encoding of datagrams.
 
 use proptest::prelude::*;
 use tinbank_allocator::{
@@ -8,7 +8,7 @@
 use tinbank_allowance::Limit;
 use tinbank_test_support::property;
 
-fn ask() -> Frame {
+fn slot_request() -> Frame {
     Frame::SlotRequest(SlotRequest {
         lease: 7,
         class: Class::Online,
@@ -24,15 +24,15 @@
 }
 
 #[test]
-fn a_frame_comes_back_as_it_was() {
-    let bytes = ask().encode().unwrap();
+fn a_frame_survives_a_round_trip() {
+    let bytes = slot_request().encode().unwrap();
 
-    assert_eq!(Frame::decode(&bytes).unwrap(), ask());
+    assert_eq!(Frame::decode(&bytes).unwrap(), slot_request());
 }
 
 #[test]
-fn a_frame_of_another_version_is_told_as_such() {
-    let mut bytes = ask().encode().unwrap();
+fn another_version_is_reported_as_such() {
+    let mut bytes = slot_request().encode().unwrap();
     bytes[0] = 200;
 
     let error = Frame::decode(&bytes).unwrap_err();
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn the_leases_of_a_busy_host_fit_in_a_datagram() {
+fn the_holdings_of_a_busy_host_fit_in_a_datagram() {
     let held = (0..200u64).map(|lease| Held {
         lease: u64::MAX - lease,
         upstream: "i-7f3a91c2ff".into(),
@@ -59,7 +59,7 @@
     #![proptest_config(property::config(500))]
 
     #[test]
-    fn no_datagram_makes_a_host_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn decoding_never_panics(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = Frame::decode(&bytes);
     }
 }
--- a/crates/tinbank-allocator/tests/world/mod.rs
+++ b/crates/tinbank-allocator/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! An allocator, the hosts that ask it, and a version that knows all leases at once.
+//! Test harness: an allocator, the hosts that use it, and a model that knows all leases.
 
 use std::{
     collections::HashMap,
@@ -15,38 +15,38 @@
 use tinbank_allowance::Tolerance;
 use tinbank_base::id;
 
-/// Slots of each upstream.
+/// Slots per upstream.
 pub const SLOTS: usize = 4;
-/// Hosts that ask.
+/// Hosts that use the allocator.
 pub const HOSTS: u8 = 3;
-/// Time after which an allocator has learned what others hold.
-pub const LEARNED: Duration = Duration::from_millis(1_600);
+/// Longer than the allocator learns.
+pub const LEARNING_PERIOD: Duration = Duration::from_millis(1_600);
 
-/// An allocator and what it has granted.
-pub struct Desk {
+/// An allocator and the leases it has granted.
+pub struct Harness {
     pub allocator: Allocator,
     pub now: Instant,
-    pub next: Id,
-    /// The last grant was of an upstream whose slots were all in use.
+    pub next_lease: Id,
+    /// Whether the last grant was marked as queued.
     pub queued: bool,
     pub reclaimed: Vec<(SocketAddr, Id)>,
-    /// Requests that wait at the allocator, and what they are for.
-    pub waiting: HashMap<(SocketAddr, Id), Class>,
-    /// Requests that were granted a slot after they had waited, in order.
-    pub served: Vec<Id>,
-    /// Rank of the requests that are asked for.
+    /// Requests without a final response.
+    pub pending: HashMap<(SocketAddr, Id), Class>,
+    /// Granted leases, in order.
+    pub granted: Vec<Id>,
+    /// Rank of new requests.
     pub rank: u8,
     held: HashMap<(SocketAddr, Id), (id::Instance, Class)>,
     upstreams: usize,
 }
 
-/// A batch item that is due then.
+/// A batch item that can be on time.
 pub fn batch(at_ms: u64) -> Class {
     Class::Batch(Due { late: false, at_ms })
 }
 
-/// A batch item that can't be in time.
-pub fn late(at_ms: u64) -> Class {
+/// A batch item that can't be on time.
+pub fn late_batch(at_ms: u64) -> Class {
     Class::Batch(Due { late: true, at_ms })
 }
 
@@ -64,33 +64,33 @@
     }
 }
 
-impl Desk {
-    /// An allocator that has heard of all hosts for long enough.
-    pub fn learned(upstreams: u8) -> Self {
-        let mut desk = Self {
+impl Harness {
+    /// Creates an allocator that has received heartbeats of all hosts and no longer learns.
+    pub fn after_learning(upstreams: u8) -> Self {
+        let mut harness = Self {
             allocator: Allocator::new(1, Tolerance::default()),
             now: Instant::now(),
-            next: 0,
+            next_lease: 0,
             queued: false,
             reclaimed: Vec::new(),
-            waiting: HashMap::new(),
-            served: Vec::new(),
+            pending: HashMap::new(),
+            granted: Vec::new(),
             rank: 0,
             held: HashMap::new(),
             upstreams: upstreams.into(),
         };
-        desk.allocator.set_upstreams((0..upstreams).map(upstream).collect());
-        desk.tell(0);
-        desk.now += LEARNED;
-        (0..HOSTS).for_each(|host| desk.tell(host));
-        desk
+        harness.allocator.set_upstreams((0..upstreams).map(upstream).collect());
+        harness.send_heartbeat(0);
+        harness.now += LEARNING_PERIOD;
+        (0..HOSTS).for_each(|host| harness.send_heartbeat(host));
+        harness
     }
 
-    /// Asks for a slot.
-    pub fn ask(&mut self, by: u8, class: Class, queue: Queue) -> Option<id::Instance> {
-        let lease = self.next;
-        self.next += 1;
-        let ask = SlotRequest {
+    /// Sends a slot request. Returns the granted upstream, if any.
+    pub fn request(&mut self, by: u8, class: Class, queue: Queue) -> Option<id::Instance> {
+        let lease = self.next_lease;
+        self.next_lease += 1;
+        let request = SlotRequest {
             lease,
             class,
             service: "notes".to_owned(),
@@ -99,18 +99,18 @@
             rank: self.rank,
             meter: None,
         };
-        let (out, _) = self.allocator.receive(host(by), Frame::SlotRequest(ask), self.now);
-        self.waiting.insert((host(by), lease), class);
-        self.take(out);
+        let (out, _) = self.allocator.receive(host(by), Frame::SlotRequest(request), self.now);
+        self.pending.insert((host(by), lease), class);
+        self.apply(out);
         let held = self.held.get(&(host(by), lease));
         held.map(|(upstream, _)| upstream.clone())
     }
 
-    /// Takes in what the allocator sends.
-    fn take(&mut self, out: Outgoing) {
+    /// Applies the datagrams that the allocator sends.
+    fn apply(&mut self, out: Outgoing) {
         for (to, frame) in out {
-            let answer = match frame {
-                Frame::SlotResponse(answer) => answer,
+            let response = match frame {
+                Frame::SlotResponse(response) => response,
                 Frame::Reclaim(lease) => {
                     self.held.remove(&(to, lease));
                     self.reclaimed.push((to, lease));
@@ -119,31 +119,31 @@
                 Frame::HeartbeatReply(_) => continue,
                 other => panic!("unexpected {other:?}"),
             };
-            let key = (to, answer.lease);
-            match answer.verdict {
+            let key = (to, response.lease);
+            match response.verdict {
                 Verdict::Waiting => {}
-                Verdict::Denied | Verdict::OverLimit(_) => drop(self.waiting.remove(&key)),
+                Verdict::Denied | Verdict::OverLimit(_) => drop(self.pending.remove(&key)),
                 Verdict::Granted(grant) => {
-                    let class = self.waiting.remove(&key).expect("a request that waits");
+                    let class = self.pending.remove(&key).expect("a pending request");
                     self.queued = grant.queued;
                     self.held.insert(key, (grant.upstream, class));
-                    self.served.push(answer.lease);
+                    self.granted.push(response.lease);
                 }
             }
         }
     }
 
-    /// A request waits for a slot no more.
+    /// Withdraws a queued request.
     pub fn withdraw(&mut self, by: u8, lease: Id) {
         let frame = Frame::Withdraw(lease);
         self.allocator.receive(host(by), frame, self.now);
-        self.waiting.remove(&(host(by), lease));
+        self.pending.remove(&(host(by), lease));
     }
 
-    /// Asks for a slot that there is, and gives the number of the lease.
-    pub fn ask_held(&mut self, by: u8, class: Class) -> Id {
-        let lease = self.next;
-        assert!(self.ask(by, class, Queue::InUpstream).is_some());
+    /// Sends a slot request that must be granted. Returns the lease.
+    pub fn request_granted(&mut self, by: u8, class: Class) -> Id {
+        let lease = self.next_lease;
+        assert!(self.request(by, class, Queue::InUpstream).is_some());
         lease
     }
 
@@ -157,41 +157,41 @@
         let (out, change) = self
             .allocator
             .receive(host(by), Frame::Release(release), self.now);
-        self.take(out);
+        self.apply(out);
         change
     }
 
-    /// Releases one of the leases, if there is any.
+    /// Releases one of the leases, if there are any.
     pub fn release_any(&mut self, pick: usize) {
         let mut keys: Vec<_> = self.held.keys().copied().collect();
         keys.sort();
         let Some((by, lease)) = keys.get(pick % keys.len().max(1)).copied() else {
             return;
         };
-        let index = (0..HOSTS).find(|index| host(*index) == by).expect("a host");
-        self.release(index, lease, Outcome::Served);
+        let host_index = (0..HOSTS).find(|host_index| host(*host_index) == by).expect("a host");
+        self.release(host_index, lease, Outcome::Served);
     }
 
-    /// A host tells what it holds.
-    pub fn tell(&mut self, by: u8) {
-        let mine = self.held.iter().filter(|((at, _), _)| *at == host(by));
-        let held = mine.map(|((_, lease), (upstream, class))| Held {
+    /// Sends a heartbeat with all leases that a host holds.
+    pub fn send_heartbeat(&mut self, by: u8) {
+        let own = self.held.iter().filter(|((at, _), _)| *at == host(by));
+        let held = own.map(|((_, lease), (upstream, class))| Held {
             lease: *lease,
             upstream: upstream.clone(),
             class: *class,
         });
         let held = held.collect();
-        self.holdings(by, self.next, held);
+        self.send_holdings(by, self.next_lease, held);
     }
 
-    pub fn holdings(&mut self, by: u8, next: Id, held: Vec<Held>) {
+    pub fn send_holdings(&mut self, by: u8, next: Id, held: Vec<Held>) {
         let frame = Frame::Holdings(Holdings { next, held });
         let (out, _) = self.allocator.receive(host(by), frame, self.now);
-        self.take(out);
+        self.apply(out);
     }
 
-    /// Slots that a version that knows all leases would give to a request of a class.
-    pub fn slots_for(&self, class: Class) -> usize {
+    /// Returns the number of slots that the model would grant to a request of a class.
+    pub fn available_slots(&self, class: Class) -> usize {
         let all = self.upstreams * SLOTS;
         match class {
             Class::Online => {
@@ -207,8 +207,8 @@
         }
     }
 
-    /// Leases at the upstream that has most.
-    pub fn most_held(&self) -> usize {
+    /// Returns the number of leases at the upstream that has the most.
+    pub fn max_leases_per_upstream(&self) -> usize {
         let mut counts: HashMap<&id::Instance, usize> = HashMap::new();
         for (upstream, _) in self.held.values() {
             *counts.entry(upstream).or_default() += 1;
--- a/crates/tinbank-allocator/tests/load/caller.rs
+++ b/crates/tinbank-allocator/tests/load/caller.rs
@@ -1,69 +1,69 @@
-//! Callers: when their requests come, and what they get.
+//! Callers: arrival times of their requests, and the results.
 
 use std::time::{Duration, Instant};
 
-/// Number of a request or of an item.
+/// Identifies a request or an item.
 pub type Number = usize;
 
-/// One caller's request, over all its tries.
+/// One caller's request, over all its attempts.
 #[derive(Clone, Copy, Debug)]
 pub struct Caller {
-    pub first_try: Instant,
+    pub first_attempt: Instant,
     pub deadline: Instant,
-    /// When this try came.
+    /// When the current attempt arrived.
     pub received: Instant,
-    pub tries: u32,
+    pub attempts: u32,
 }
 
-/// What a caller got.
+/// Result of a caller's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Got {
-    InTime,
+pub enum CallerResult {
+    OnTime,
     Late,
-    /// It was refused each time, after so long in all.
+    /// Refused in its last attempt, after this time.
     Refused(Duration),
 }
 
-/// What all callers got.
+/// Results of all callers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
-    pub asked: usize,
-    pub in_time: usize,
+    pub requests: usize,
+    pub on_time: usize,
     pub late: usize,
     pub refused: usize,
-    /// Longest time for which a request was held that was refused in the end, over its tries.
-    pub longest_in_vain: Duration,
-    /// Batch items that were done.
+    /// Maximum time for which a request was held before it was refused in its last attempt.
+    pub longest_refused: Duration,
+    /// Completed batch items.
     pub items: usize,
 }
 
 impl Tally {
-    pub fn note(&mut self, got: Got) {
-        match got {
-            Got::InTime => self.in_time += 1,
-            Got::Late => self.late += 1,
-            Got::Refused(held) => {
+    pub fn record(&mut self, result: CallerResult) {
+        match result {
+            CallerResult::OnTime => self.on_time += 1,
+            CallerResult::Late => self.late += 1,
+            CallerResult::Refused(held) => {
                 self.refused += 1;
-                self.longest_in_vain = self.longest_in_vain.max(held);
+                self.longest_refused = self.longest_refused.max(held);
             }
         }
     }
 }
 
-/// How arrivals go over time.
+/// Arrival rate over time.
 #[derive(Clone, Copy, Debug)]
 pub enum Pattern {
     Steady,
-    /// A second at twice the rate, a second at a fifth of it.
+    /// Alternates between twice the rate and a fifth of it, for a second each.
     OnOff,
     /// Two seconds at the rate, three at three times the rate, the rest at half of it.
     Jump,
-    /// All callers of two seconds come within a tenth of a second, and then at the rate.
-    AllBack,
+    /// Twenty times the rate for a tenth of a second, as when callers retry after an outage, otherwise the rate.
+    RetryBurst,
 }
 
 impl Pattern {
-    /// Load at a time, as a multiple of the rate, in percent.
+    /// Returns the load at a time, in percent of the rate.
     fn percent(self, at: Duration) -> u64 {
         let ms = at.as_millis();
         match self {
@@ -73,13 +73,13 @@
             Self::Jump if ms < 2_000 => 100,
             Self::Jump if ms < 5_000 => 300,
             Self::Jump => 50,
-            Self::AllBack if (1_000..1_100).contains(&ms) => 2_000,
-            Self::AllBack => 100,
+            Self::RetryBurst if (1_000..1_100).contains(&ms) => 2_000,
+            Self::RetryBurst => 100,
         }
     }
 }
 
-/// When requests come, evenly but for some chance, at a rate a second for some time.
+/// Returns arrival times for `length`: evenly spaced at the rate of the pattern, with some jitter.
 pub fn arrivals(
     pattern: Pattern,
     per_second: f64,
@@ -87,7 +87,7 @@
     start: Instant,
 ) -> Vec<Instant> {
     const STEP: Duration = Duration::from_millis(5);
-    let mut chance = Chance(7);
+    let mut rng = Rng(7);
     let mut arrivals = Vec::new();
     let mut due = 0.0;
     let mut at = Duration::ZERO;
@@ -95,7 +95,7 @@
         due += per_second * STEP.as_secs_f64() * pattern.percent(at) as f64 / 100.0;
         while due >= 1.0 {
             due -= 1.0;
-            let jitter = Duration::from_micros(chance.next() % 20_000);
+            let jitter = Duration::from_micros(rng.next() % 20_000);
             arrivals.push(start + at + jitter);
         }
         at += STEP;
@@ -104,11 +104,11 @@
     arrivals
 }
 
-/// Numbers that look random and are the same on each run.
+/// Deterministic pseudorandom number generator.
 #[derive(Debug)]
-pub struct Chance(pub u64);
+pub struct Rng(pub u64);
 
-impl Chance {
+impl Rng {
     pub fn next(&mut self) -> u64 {
         self.0 = self
             .0
--- a/crates/tinbank-allocator/tests/load/main.rs
+++ b/crates/tinbank-allocator/tests/load/main.rs
@@ -1,18 +1,18 @@
-//! What callers get under load, played in virtual time: arrivals of some patterns against allocators and upstreams of sizes
-//! that no deployment has.
+//! Results of callers under load, simulated in virtual time: arrival patterns against allocators and upstreams of various
+//! sizes.
 
 mod caller;
-mod play;
+mod simulation;
 mod upstream;
 
 use std::time::{Duration, Instant};
 
 use caller::{Pattern, Tally, arrivals};
-use play::{Load, Policy, play};
-use upstream::bound;
+use simulation::{Load, Policy, simulate};
+use upstream::ideal_on_time;
 use yare::parameterized;
 
-/// How long arrivals go on.
+/// Duration of the arrivals.
 const LENGTH: Duration = Duration::from_secs(10);
 
 const fn ms(ms: u64) -> Duration {
@@ -37,7 +37,7 @@
         has_batch: false,
         slow: 0,
         policy: Policy::Admission,
-        loses_one_in: None,
+        loss_one_in: None,
     }
 }
 
@@ -45,21 +45,21 @@
     load.failure_domains * load.upstreams * load.slots
 }
 
-/// Requests at a percentage of what the upstreams can carry.
+/// Returns arrivals at a percentage of the upstreams' capacity.
 fn requests(load: Load, pattern: Pattern, percent: u32) -> Vec<Instant> {
-    let carried = slots(load) as f64 / load.held.as_secs_f64();
-    let per_second = carried * f64::from(percent) / 100.0;
+    let capacity = slots(load) as f64 / load.held.as_secs_f64();
+    let per_second = capacity * f64::from(percent) / 100.0;
     arrivals(pattern, per_second, LENGTH, Instant::now() + ms(60_000))
 }
 
-/// What callers got, and how many could have had their answers in time.
-fn played(load: Load, pattern: Pattern, percent: u32) -> (Tally, usize) {
+/// Runs a simulation. Returns the results, and how many requests an ideal allocator could have served on time.
+fn run(load: Load, pattern: Pattern, percent: u32) -> (Tally, usize) {
     let requests = requests(load, pattern, percent);
-    let patience = load.target - load.first_event;
-    let best = bound(&requests, slots(load), load.held, patience);
-    let tally = play(load, &requests);
-    println!("{pattern:?} at {percent}%: {tally:?}, at best {best} in time");
-    (tally, best)
+    let max_wait = load.target - load.first_event;
+    let ideal = ideal_on_time(&requests, slots(load), load.held, max_wait);
+    let tally = simulate(load, &requests);
+    println!("{pattern:?} at {percent}%: {tally:?}, ideal {ideal} on time");
+    (tally, ideal)
 }
 
 #[parameterized(
@@ -68,122 +68,122 @@
     thirty_one = { load(1, 31, 8, ms(700), ms(300)), Pattern::Jump, 60 },
     a_hundred_and_fifty = { load(5, 30, 4, ms(1_000), ms(500)), Pattern::Jump, 60 },
     large_slots = { load(2, 3, 32, ms(2_000), ms(1_000)), Pattern::Jump, 60 },
-    all_back = { load(4, 3, 8, ms(700), ms(300)), Pattern::AllBack, 80 },
+    retry_burst = { load(4, 3, 8, ms(700), ms(300)), Pattern::RetryBurst, 80 },
     long_requests = { load(2, 4, 8, ms(10_000), ms(2_000)), Pattern::OnOff, 60 },
     steady = { load(4, 3, 8, ms(700), ms(300)), Pattern::Steady, 110 },
     short_requests = { load(3, 5, 1, ms(20), ms(100)), Pattern::OnOff, 60 },
 )]
-fn nearly_all_that_could_be_in_time_are(load: Load, pattern: Pattern, percent: u32) {
-    let (tally, best) = played(load, pattern, percent);
+fn nearly_all_requests_that_can_be_on_time_are(load: Load, pattern: Pattern, percent: u32) {
+    let (tally, ideal) = run(load, pattern, percent);
 
     assert!(
-        tally.in_time * 100 >= best * LEAST_OF_BEST,
-        "{tally:?}, at best {best}"
+        tally.on_time * 100 >= ideal * MIN_PERCENT_OF_IDEAL,
+        "{tally:?}, ideal {ideal}"
     );
 }
 
-/// Least part of what an allocator that knows all could serve in time, in percent.
-const LEAST_OF_BEST: usize = 85;
+/// Minimum percentage of the requests that an ideal allocator could serve on time.
+const MIN_PERCENT_OF_IDEAL: usize = 85;
 
 #[parameterized(
     jump = { Pattern::Jump },
-    all_back = { Pattern::AllBack },
+    retry_burst = { Pattern::RetryBurst },
     on_off = { Pattern::OnOff },
 )]
-fn more_are_in_time_than_if_requests_waited_inside_upstreams(pattern: Pattern) {
+fn more_requests_are_on_time_than_with_queueing_inside_upstreams(pattern: Pattern) {
     let load = load(4, 3, 8, ms(700), ms(300));
     let inside = Load {
-        policy: Policy::InsideUpstreams,
+        policy: Policy::QueueInUpstreams,
         ..load
     };
 
-    let (tally, _) = played(load, pattern, 85);
-    let (other, _) = played(inside, pattern, 85);
+    let (tally, _) = run(load, pattern, 85);
+    let (other, _) = run(inside, pattern, 85);
 
     assert!(
-        tally.in_time * 100 > other.in_time * 110,
+        tally.on_time * 100 > other.on_time * 110,
         "{tally:?} against {other:?}"
     );
 }
 
 #[test]
-fn callers_that_come_again_make_no_new_one_late() {
+fn retries_do_not_delay_first_attempts() {
     let load = load(4, 3, 8, ms(700), ms(300));
     let as_new = Load {
-        policy: Policy::LateAsNew,
+        policy: Policy::RetriesAsFirstAttempts,
         ..load
     };
 
-    let (tally, best) = played(load, Pattern::Jump, 60);
-    let (other, _) = played(as_new, Pattern::Jump, 60);
+    let (tally, ideal) = run(load, Pattern::Jump, 60);
+    let (other, _) = run(as_new, Pattern::Jump, 60);
 
     assert!(
-        tally.in_time * 100 >= best * 90,
-        "{tally:?}, at best {best}"
+        tally.on_time * 100 >= ideal * 90,
+        "{tally:?}, ideal {ideal}"
     );
-    assert!(tally.in_time > other.in_time, "{tally:?} against {other:?}");
+    assert!(tally.on_time > other.on_time, "{tally:?} against {other:?}");
 }
 
 #[test]
-fn nobody_is_held_for_longer_than_is_of_use() {
+fn refused_requests_are_not_held_for_long() {
     let load = load(2, 4, 8, ms(700), ms(300));
 
-    let (tally, _) = played(load, Pattern::Jump, 80);
+    let (tally, _) = run(load, Pattern::Jump, 80);
 
     assert!(tally.refused > 0);
-    assert!(tally.longest_in_vain <= load.held + ms(100), "{tally:?}");
+    assert!(tally.longest_refused <= load.held + ms(100), "{tally:?}");
 }
 
 #[test]
-fn batch_fills_the_gaps_and_makes_no_online_request_late() {
+fn batch_uses_idle_slots_without_delaying_online_requests() {
     let alone = load(4, 3, 8, ms(700), ms(300));
     let beside = Load {
         has_batch: true,
         ..alone
     };
 
-    let (alone, _) = played(alone, Pattern::OnOff, 60);
-    let (beside, _) = played(beside, Pattern::OnOff, 60);
+    let (alone, _) = run(alone, Pattern::OnOff, 60);
+    let (beside, _) = run(beside, Pattern::OnOff, 60);
 
     assert!(beside.items > 0);
     assert!(
-        beside.in_time * 100 >= alone.in_time * 97,
+        beside.on_time * 100 >= alone.on_time * 97,
         "{beside:?} against {alone:?}"
     );
 }
 
-/// A slot kept free of batch at each of 31 upstreams was one in seven of all slots.
+/// Guards against headroom that grows with the number of upstreams.
 #[test]
-fn batch_gets_nearly_all_slots_that_many_upstreams_leave_free() {
+fn batch_uses_nearly_all_idle_slots_of_many_upstreams() {
     let alone = load(1, 31, 7, ms(700), ms(300));
     let beside = Load {
         has_batch: true,
         ..alone
     };
 
-    let (alone, _) = played(alone, Pattern::OnOff, 40);
-    let (beside, _) = played(beside, Pattern::OnOff, 40);
+    let (alone, _) = run(alone, Pattern::OnOff, 40);
+    let (beside, _) = run(beside, Pattern::OnOff, 40);
 
-    // 192 with a slot kept free at each upstream.
+    // More than are possible with one free slot per upstream.
     assert!(beside.items >= 200, "{beside:?}");
     assert!(
-        beside.in_time * 100 >= alone.in_time * 99,
+        beside.on_time * 100 >= alone.on_time * 99,
         "{beside:?} against {alone:?}"
     );
 }
 
 #[test]
-fn slow_upstreams_cost_little_more_than_what_they_can_t_carry() {
+fn slow_upstreams_cost_little_more_than_their_lost_capacity() {
     let load = load(4, 3, 8, ms(700), ms(300));
     let with_slow = Load { slow: 1, ..load };
-    // Of three upstreams one carries a quarter.
-    let carried = 100 * 9 / 12;
+    // One of three upstreams has a quarter of its capacity.
+    let capacity = 100 * 9 / 12;
 
-    let (tally, best) = played(load, Pattern::Steady, 100);
-    let (other, _) = played(with_slow, Pattern::Steady, 100);
+    let (tally, ideal) = run(load, Pattern::Steady, 100);
+    let (other, _) = run(with_slow, Pattern::Steady, 100);
 
     assert!(
-        other.in_time * 100 >= best * carried * 90 / 100,
+        other.on_time * 100 >= ideal * capacity * 90 / 100,
         "{other:?} against {tally:?}"
     );
 }
@@ -192,15 +192,15 @@
 fn lost_datagrams_cost_little() {
     let load = load(4, 3, 8, ms(700), ms(300));
     let lossy = Load {
-        loses_one_in: Some(40),
+        loss_one_in: Some(40),
         ..load
     };
 
-    let (tally, _) = played(load, Pattern::OnOff, 70);
-    let (other, _) = played(lossy, Pattern::OnOff, 70);
+    let (tally, _) = run(load, Pattern::OnOff, 70);
+    let (other, _) = run(lossy, Pattern::OnOff, 70);
 
     assert!(
-        other.in_time * 100 >= tally.in_time * 90,
+        other.on_time * 100 >= tally.on_time * 90,
         "{other:?} against {tally:?}"
     );
 }
--- a/crates/tinbank-allocator/tests/load/upstream.rs
+++ b/crates/tinbank-allocator/tests/load/upstream.rs
@@ -1,4 +1,4 @@
-//! Upstreams that run so many requests at once and let all others wait in the order in which they came.
+//! Upstreams that process a fixed number of requests concurrently and queue the others in arrival order.
 
 use std::{
     collections::VecDeque,
@@ -7,8 +7,8 @@
 
 use crate::caller::Number;
 
-/// How many times as long a slow upstream takes.
-const SLOWNESS: u32 = 4;
+/// Slowdown factor of a slow upstream.
+const SLOWDOWN: u32 = 4;
 
 /// One upstream.
 #[derive(Debug, Default)]
@@ -16,49 +16,49 @@
     slots: usize,
     running: Vec<Number>,
     queue: VecDeque<Number>,
-    /// How many times longer than usual it takes.
-    pub slowness: u32,
+    /// Factor by which requests take longer than usual.
+    pub slowdown: u32,
 }
 
-/// A request that has got a slot.
+/// A request that has started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Begun(pub Number);
+pub struct Started(pub Number);
 
 impl Upstream {
     pub fn new(slots: usize, is_slow: bool) -> Self {
         Self {
             slots,
-            slowness: if is_slow { SLOWNESS } else { 1 },
+            slowdown: if is_slow { SLOWDOWN } else { 1 },
             ..Self::default()
         }
     }
 
-    /// Takes a request, and says which one begins.
-    pub fn take(&mut self, request: Number) -> Option<Begun> {
+    /// Accepts a request. Returns the one that starts, if any.
+    pub fn accept(&mut self, request: Number) -> Option<Started> {
         self.queue.push_back(request);
-        self.begin()
+        self.start_next()
     }
 
-    /// A request has ended or was cancelled. Says which one begins in its place.
-    pub fn end(&mut self, request: Number) -> Option<Begun> {
+    /// Removes a request that has ended or was cancelled. Returns the one that starts in its place, if any.
+    pub fn remove(&mut self, request: Number) -> Option<Started> {
         self.running.retain(|it| *it != request);
         self.queue.retain(|it| *it != request);
-        self.begin()
+        self.start_next()
     }
 
-    fn begin(&mut self) -> Option<Begun> {
+    fn start_next(&mut self) -> Option<Started> {
         if self.running.len() >= self.slots {
             return None;
         }
         let next = self.queue.pop_front()?;
         self.running.push(next);
-        Some(Begun(next))
+        Some(Started(next))
     }
 }
 
-/// How many requests an allocator could serve in time that knew of all at once and dealt all slots from one queue: new ones
-/// in order, as long as they can be in time, and none else.
-pub fn bound(arrivals: &[Instant], slots: usize, held: Duration, patience: Duration) -> usize {
+/// Returns how many requests an ideal allocator could serve on time: one with global knowledge that grants all slots
+/// from a single queue, in order, to requests that can still be on time and to no others.
+pub fn ideal_on_time(arrivals: &[Instant], slots: usize, held: Duration, max_wait: Duration) -> usize {
     let Some(first) = arrivals.first() else {
         return 0;
     };
@@ -66,9 +66,9 @@
     let mut served = 0;
     for arrival in arrivals {
         let slot = free_at.iter_mut().min().expect("a slot");
-        let begins_at = (*slot).max(*arrival);
-        if begins_at <= *arrival + patience {
-            *slot = begins_at + held;
+        let starts_at = (*slot).max(*arrival);
+        if starts_at <= *arrival + max_wait {
+            *slot = starts_at + held;
             served += 1;
         }
     }
--- a/crates/tinbank-allocator/tests/waiting.rs
+++ b/crates/tinbank-allocator/tests/waiting.rs
@@ -1,7 +1,7 @@
-//! Online requests that wait at the allocator for a slot.
+//! Online requests that queue at the allocator.
 
 #[allow(dead_code, reason = "each test file uses its part")]
-mod world;
+mod harness;
 
 use std::time::Duration;
 
@@ -9,100 +9,100 @@
     frame::{Frame, Queue, SlotResponse, Verdict},
     lease::{Class, Id, Outcome},
 };
-use world::{Desk, SLOTS, batch};
+use harness::{Harness, SLOTS, batch};
 
-/// Time for which requests hold their slots.
-const HELD: Duration = Duration::from_millis(800);
+/// How long requests hold their slots.
+const SLOT_TIME: Duration = Duration::from_millis(800);
 
-/// An allocator that has measured how long requests take, and whose slots are all in use. Also the leases in force.
-fn full(upstreams: u8) -> (Desk, Vec<Id>) {
-    let mut desk = Desk::learned(upstreams);
-    let held = desk.ask_held(0, Class::Online);
-    desk.now += HELD;
-    desk.release(0, held, Outcome::Served);
+/// Returns an allocator that has measured [`SLOT_TIME`] and whose slots are all in use, and the active leases.
+fn full(upstreams: u8) -> (Harness, Vec<Id>) {
+    let mut harness = Harness::after_learning(upstreams);
+    let held = harness.request_granted(0, Class::Online);
+    harness.now += SLOT_TIME;
+    harness.release(0, held, Outcome::Served);
     let slots = usize::from(upstreams) * SLOTS;
-    let leases = (0..slots).map(|_| desk.ask_held(0, Class::Online));
+    let leases = (0..slots).map(|_| harness.request_granted(0, Class::Online));
     let leases = leases.collect();
-    desk.served.clear();
-    (desk, leases)
+    harness.granted.clear();
+    (harness, leases)
 }
 
-/// Asks for a slot that there is not, and gives the number of the lease.
-fn wait(desk: &mut Desk, by: u8, queue: Queue) -> Id {
-    let lease = desk.next;
-    assert!(desk.ask(by, Class::Online, queue).is_none());
+/// Sends a request that is not granted at once. Returns the lease.
+fn request_without_grant(harness: &mut Harness, by: u8, queue: Queue) -> Id {
+    let lease = harness.next_lease;
+    assert!(harness.request(by, Class::Online, queue).is_none());
     lease
 }
 
 #[test]
-fn a_request_waits_only_if_a_slot_is_likely_to_come_free_in_time() {
-    let (mut desk, _) = full(1);
-
-    // A slot comes free each 200 ms: four of them, for 800 ms each.
-    wait(&mut desk, 0, Queue::Within(150));
-    let too_short = desk.waiting.len();
-    wait(&mut desk, 0, Queue::Within(210));
-    let first = desk.waiting.len();
-    wait(&mut desk, 0, Queue::Within(210));
-    let second = desk.waiting.len();
-    wait(&mut desk, 0, Queue::No);
+fn a_request_is_queued_only_if_a_slot_is_expected_in_time() {
+    let (mut harness, _) = full(1);
+
+    // With four slots of 800 ms each, one becomes free every 200 ms.
+    request_without_grant(&mut harness, 0, Queue::Within(150));
+    let too_short = harness.pending.len();
+    request_without_grant(&mut harness, 0, Queue::Within(210));
+    let first = harness.pending.len();
+    request_without_grant(&mut harness, 0, Queue::Within(210));
+    let second = harness.pending.len();
+    request_without_grant(&mut harness, 0, Queue::No);
 
     assert_eq!((too_short, first, second), (0, 1, 1));
-    assert_eq!(desk.waiting.len(), 1);
-    assert!(desk.ask(0, Class::Online, Queue::InUpstream).is_some());
+    assert_eq!(harness.pending.len(), 1);
+    assert!(harness.request(0, Class::Online, Queue::InUpstream).is_some());
 }
 
 #[test]
-fn the_next_slot_of_any_upstream_goes_to_the_request_that_has_waited_longest() {
-    let (mut desk, leases) = full(2);
-    let first = wait(&mut desk, 0, Queue::Within(500));
-    desk.now += Duration::from_millis(10);
-    let second = wait(&mut desk, 1, Queue::Within(500));
+fn the_next_slot_of_any_upstream_goes_to_the_oldest_request() {
+    let (mut harness, leases) = full(2);
+    let first = request_without_grant(&mut harness, 0, Queue::Within(500));
+    harness.now += Duration::from_millis(10);
+    let second = request_without_grant(&mut harness, 1, Queue::Within(500));
 
-    desk.release(0, leases[5], Outcome::Served);
-    desk.release(0, leases[0], Outcome::Served);
+    harness.release(0, leases[5], Outcome::Served);
+    harness.release(0, leases[0], Outcome::Served);
 
-    assert_eq!(desk.served, [first, second]);
-    assert!(!desk.queued);
+    assert_eq!(harness.granted, [first, second]);
+    assert!(!harness.queued);
 }
 
 #[test]
-fn a_late_request_waits_behind_all_that_can_be_in_time() {
-    let (mut desk, leases) = full(1);
-    let late = wait(&mut desk, 0, Queue::LowPriority(700));
-    desk.now += Duration::from_millis(100);
-    let new = wait(&mut desk, 1, Queue::Within(250));
+fn a_late_request_is_queued_behind_on_time_ones() {
+    let (mut harness, leases) = full(1);
+    let late = request_without_grant(&mut harness, 0, Queue::LowPriority(700));
+    harness.now += Duration::from_millis(100);
+    let new = request_without_grant(&mut harness, 1, Queue::Within(250));
 
-    desk.release(0, leases[0], Outcome::Served);
-    let first = desk.served.clone();
-    desk.release(0, leases[1], Outcome::Served);
+    harness.release(0, leases[0], Outcome::Served);
+    let first = harness.granted.clone();
+    harness.release(0, leases[1], Outcome::Served);
 
     assert_eq!(first, [new]);
-    assert_eq!(desk.served, [new, late]);
+    assert_eq!(harness.granted, [new, late]);
 }
 
 #[test]
-fn a_request_whose_time_is_up_gets_no_slot() {
-    let (mut desk, leases) = full(1);
-    wait(&mut desk, 0, Queue::Within(250));
-    desk.now += Duration::from_millis(260);
+fn an_expired_request_gets_no_slot() {
+    let (mut harness, leases) = full(1);
+    request_without_grant(&mut harness, 0, Queue::Within(250));
+    harness.now += Duration::from_millis(260);
 
-    desk.release(0, leases[0], Outcome::Served);
+    harness.release(0, leases[0], Outcome::Served);
 
-    assert!(desk.served.is_empty());
+    assert!(harness.granted.is_empty());
 }
 
 #[test]
-fn those_that_wait_hear_at_once_when_no_upstream_of_their_service_is_left() {
-    let (mut desk, _) = full(1);
-    wait(&mut desk, 0, Queue::Within(210));
-    let before = desk.waiting.len();
+fn queued_requests_are_denied_when_their_service_has_no_upstream_left() {
+    let (mut harness, _) = full(1);
+    request_without_grant(&mut harness, 0, Queue::Within(210));
+    let before = harness.pending.len();
 
-    let told = desk.allocator.set_upstreams(Vec::new());
+    let responses = harness.allocator.set_upstreams(Vec::new());
 
-    assert_eq!((before, told.len()), (1, 1));
+    assert_eq!((before, responses.len()), (1, 1));
     assert!(matches!(
-        told[0].1,
+        responses[0].1,
         Frame::SlotResponse(SlotResponse {
             verdict: Verdict::Denied,
             ..
@@ -111,52 +111,52 @@
 }
 
 #[test]
-fn a_caller_that_leaves_frees_its_place() {
-    let (mut desk, leases) = full(1);
-    let left = wait(&mut desk, 0, Queue::Within(210));
-    desk.withdraw(0, left);
-    let next = wait(&mut desk, 1, Queue::Within(210));
+fn a_withdrawn_request_gives_up_its_place_in_the_queue() {
+    let (mut harness, leases) = full(1);
+    let withdrawn = request_without_grant(&mut harness, 0, Queue::Within(210));
+    harness.withdraw(0, withdrawn);
+    let second = request_without_grant(&mut harness, 1, Queue::Within(210));
 
-    desk.release(0, leases[0], Outcome::Served);
+    harness.release(0, leases[0], Outcome::Served);
 
-    assert_eq!(desk.served, [next]);
+    assert_eq!(harness.granted, [second]);
 }
 
 #[test]
 fn batch_gets_no_slot_while_an_online_request_waits() {
-    let (mut desk, leases) = full(1);
-    let waits = wait(&mut desk, 0, Queue::Within(250));
-    desk.release(0, leases[0], Outcome::Served);
+    let (mut harness, leases) = full(1);
+    let queued = request_without_grant(&mut harness, 0, Queue::Within(250));
+    harness.release(0, leases[0], Outcome::Served);
 
-    let item = desk.ask(1, batch(1), Queue::No);
+    let item = harness.request(1, batch(1), Queue::No);
 
-    assert_eq!(desk.served, [waits]);
+    assert_eq!(harness.granted, [queued]);
     assert!(item.is_none());
 }
 
 #[test]
 fn a_request_of_higher_rank_gets_a_slot_first() {
-    let (mut desk, leases) = full(1);
-    desk.rank = 1;
-    let lower = wait(&mut desk, 0, Queue::Within(400));
-    desk.rank = 0;
-    let higher = wait(&mut desk, 1, Queue::Within(450));
+    let (mut harness, leases) = full(1);
+    harness.rank = 1;
+    let lower = request_without_grant(&mut harness, 0, Queue::Within(400));
+    harness.rank = 0;
+    let higher = request_without_grant(&mut harness, 1, Queue::Within(450));
 
-    desk.release(0, leases[0], Outcome::Served);
-    desk.release(0, leases[1], Outcome::Served);
+    harness.release(0, leases[0], Outcome::Served);
+    harness.release(0, leases[1], Outcome::Served);
 
-    assert_eq!(desk.served, [higher, lower]);
+    assert_eq!(harness.granted, [higher, lower]);
 }
 
 #[test]
-fn a_late_request_of_higher_rank_waits_behind_one_that_can_be_in_time() {
-    let (mut desk, leases) = full(1);
-    let late = wait(&mut desk, 0, Queue::LowPriority(900));
-    desk.rank = 1;
-    let in_time = wait(&mut desk, 1, Queue::Within(450));
+fn a_late_request_of_higher_rank_is_queued_behind_an_on_time_one() {
+    let (mut harness, leases) = full(1);
+    let late = request_without_grant(&mut harness, 0, Queue::LowPriority(900));
+    harness.rank = 1;
+    let in_time = request_without_grant(&mut harness, 1, Queue::Within(450));
 
-    desk.release(0, leases[0], Outcome::Served);
-    desk.release(0, leases[1], Outcome::Served);
+    harness.release(0, leases[0], Outcome::Served);
+    harness.release(0, leases[1], Outcome::Served);
 
-    assert_eq!(desk.served, [in_time, late]);
+    assert_eq!(harness.granted, [in_time, late]);
 }
--- a/crates/tinbank-allowance/src/bucket.rs
+++ b/crates/tinbank-allowance/src/bucket.rs
@@ -1,53 +1,53 @@
-//! A token bucket whose level may fall below zero: what another counter let in is taken from it after the fact.
+//! A token bucket whose level may become negative, because requests admitted by other counters are deducted afterwards.
 
 use std::time::{Duration, Instant};
 
-/// Tokens at a time.
+/// Level of a bucket at a point in time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Bucket {
     level: f64,
-    at: Instant,
+    updated_at: Instant,
 }
 
-/// How fast a bucket fills, and how far.
+/// Refill rate and capacity of a bucket.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Shape {
-    /// Tokens a second.
+pub(crate) struct BucketConfig {
+    /// Tokens per second.
     pub rate: f64,
-    /// Most tokens. At least one fits, or nothing would ever pass.
+    /// Maximum number of tokens. Values below one count as one, or no request would ever be admitted.
     pub capacity: f64,
 }
 
 impl Bucket {
     pub fn new(level: f64, now: Instant) -> Self {
-        Self { level, at: now }
+        Self { level, updated_at: now }
     }
 
-    /// The level now. A bucket that was larger before loses what does not fit any more.
-    pub fn level(&mut self, shape: Shape, now: Instant) -> f64 {
-        let filled = now.saturating_duration_since(self.at).as_secs_f64() * shape.rate;
-        self.level = (self.level + filled).min(shape.capacity.max(1.0));
-        self.at = self.at.max(now);
+    /// Refills the bucket and returns its level. Tokens above the capacity are lost.
+    pub fn level(&mut self, config: BucketConfig, now: Instant) -> f64 {
+        let filled = now.saturating_duration_since(self.updated_at).as_secs_f64() * config.rate;
+        self.level = (self.level + filled).min(config.capacity.max(1.0));
+        self.updated_at = self.updated_at.max(now);
         self.level
     }
 
-    /// Takes tokens that were used, whether they are there or not.
+    /// Deducts tokens, even if there are not as many.
     pub fn take(&mut self, tokens: f64) {
         self.level -= tokens;
     }
 
-    /// When the level was last looked at.
-    pub fn last_used(&self) -> Instant {
-        self.at
+    /// Returns when the bucket was last refilled.
+    pub fn last_updated(&self) -> Instant {
+        self.updated_at
     }
 
-    /// Lowers the level to one that is known better.
-    pub fn lower(&mut self, level: f64) {
+    /// Lowers the level to `level` if it is higher.
+    pub fn lower_to(&mut self, level: f64) {
         self.level = self.level.min(level);
     }
 }
 
-/// How long it takes until tokens have come in.
-pub(crate) fn time_for(tokens: f64, rate: f64) -> Duration {
+/// Returns how long it takes to refill `tokens`.
+pub(crate) fn refill_time(tokens: f64, rate: f64) -> Duration {
     Duration::try_from_secs_f64(tokens.max(0.0) / rate).unwrap_or(Duration::MAX)
 }
--- a/crates/tinbank-allowance/src/counts.rs
+++ b/crates/tinbank-allowance/src/counts.rs
@@ -1,29 +1,29 @@
-//! What a counter tells the others.
+//! Messages between counters.
 
 use serde::{Deserialize, Serialize};
 use tinbank_base::id;
 
-/// What a counter has let in. Totals only rise, so that a message that is lost or comes twice does no harm.
+/// Requests that a counter has admitted. Totals only increase, so lost and duplicate messages are harmless.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// The counter's start; totals of another start have nothing to do with these.
-    pub since: id::Incarnation,
-    /// Hosts that the counter hears.
-    pub heard: u32,
-    /// Hosts that it hears, or has heard a while ago.
-    pub known: u32,
-    /// One entry for each customer of which there is news. There may be none: the message says that the counter is there.
-    pub customers: Vec<Taken>,
+    /// Start of the counter; totals of different incarnations are unrelated.
+    pub incarnation: id::Incarnation,
+    /// Number of hosts that the counter has heard from recently.
+    pub reachable_hosts: u32,
+    /// Number of hosts that it has heard from, including those that have since become unreachable.
+    pub known_hosts: u32,
+    /// Customers with updates. If there are none, the message serves as a heartbeat of the counter.
+    pub customers: Vec<CustomerCount>,
 }
 
-/// What a counter has let in of one customer.
+/// Requests of one customer that a counter has admitted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Taken {
+pub struct CustomerCount {
     /// The customer.
     pub customer: id::Customer,
-    /// Requests let in since the counter's start.
+    /// Requests admitted since the counter's start.
     pub total: u64,
-    /// What is left of the customer's allowance as the counter knows it, in thousandths of a request. A counter that has
-    /// heard nothing of the customer yet goes by it.
+    /// Remaining allowance as the counter knows it, in thousandths of a request. Used by counters that have no total of
+    /// the customer to compare with.
     pub level_milli: i64,
 }
--- a/crates/tinbank-allowance/src/lib.rs
+++ b/crates/tinbank-allowance/src/lib.rs
@@ -1,18 +1,18 @@
-//! Counts what customers send over all hosts together, and says who is above its limit. Pure.
+//! Counts customers' requests over all hosts and enforces their rate limits. Performs no I/O.
 //!
-//! The hosts that deal out slots count: each request asks one of them anyway, so the count costs no round trip. They tell
-//! each other what they let in, see [`Counter`]. A host that reaches none of them has a small part of its own, see [`FallbackLimiter`].
-//! Ways that were weighed: `docs/design/customers.md`.
+//! Allocators do the counting: each request needs a slot from one anyway, so counting adds no round trip. They exchange
+//! their counts, see [`Counter`]. A host that can't reach any allocator admits a small part of the limit, see
+//! [`FallbackLimiter`]. Alternatives considered: `docs/design/customers.md`.
 
 mod bucket;
 pub mod counter;
 pub mod counts;
-pub mod limit;
 pub mod fallback;
+pub mod limit;
 pub mod reach;
 
 pub use counter::Counter;
 pub use counts::Counts;
-pub use limit::{Limit, Tolerance};
 pub use fallback::FallbackLimiter;
-pub use reach::Reach;
+pub use limit::{Limit, Tolerance};
+pub use reach::Reachability;
--- a/crates/tinbank-allowance/src/limit.rs
+++ b/crates/tinbank-allowance/src/limit.rs
@@ -1,4 +1,4 @@
-//! Limits of customers, and how exactly they have to hold.
+//! Rate limits of customers, and the tolerance with which they are enforced.
 
 use std::time::Duration;
 
@@ -8,17 +8,18 @@
 /// Units of a limit in one request.
 const THOUSANDTHS: f64 = 1_000.0;
 
-/// What a customer may send over all hosts together. Kept in thousandths, so that limits compare exactly.
+/// Rate limit of a customer over all hosts. Stored in thousandths, so that limits compare exactly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limit {
-    /// Requests a second, in thousandths.
+    /// Requests per second, in thousandths.
     pub rate_milli: u64,
-    /// Requests on top, in thousandths.
+    /// Burst size in requests, in thousandths.
     pub burst_milli: u64,
 }
 
 impl Limit {
-    /// A limit of so many requests a second, and so many on top. Nothing if there is no rate: that means no limit.
+    /// Creates a limit of `rate` requests per second and bursts of `burst` requests. Returns `None` if the rate is zero,
+    /// which means no limit.
     pub fn new(rate: f64, burst: f64) -> Option<Self> {
         let milli = |requests: f64| (requests.max(0.0) * THOUSANDTHS) as u64;
         let limit = Self {
@@ -28,20 +29,19 @@
         (limit.rate_milli > 0).then_some(limit)
     }
 
-    /// Requests a second.
+    /// Returns the requests per second.
     pub fn rate(self) -> f64 {
         self.rate_milli as f64 / THOUSANDTHS
     }
 
-    /// Requests on top.
+    /// Returns the burst size in requests.
     pub fn burst(self) -> f64 {
         self.burst_milli as f64 / THOUSANDTHS
     }
 }
 
-/// How exactly limits hold: within any window, a customer's requests may exceed `rate * window + burst` by this share of it
-/// and by so many requests. Counters on several hosts hear of each other late, and start anew after a loss of power; what they
-/// don't know is paid from here.
+/// How far a limit may be exceeded: in any window, by a share of `rate * window + burst` and by a number of requests.
+/// Covers the time until counters receive each other's counts, and the state lost when they restart.
 #[serde_as]
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -52,12 +52,12 @@
     pub window: Duration,
     /// Share by which the limit may be exceeded.
     pub overshoot: f64,
-    /// Requests on top of that.
+    /// Number of requests by which it may be exceeded on top of that.
     pub slack: f64,
 }
 
 impl Default for Tolerance {
-    /// Limits hold exactly, as far as counters know of each other.
+    /// No tolerance. Limits are then exceeded only by what counters have not received from each other yet.
     fn default() -> Self {
         Self {
             window: Duration::from_secs(1),
@@ -68,7 +68,7 @@
 }
 
 impl Tolerance {
-    /// Requests by which a limit may be exceeded in a window.
+    /// Returns the number of requests by which a limit may be exceeded in a window.
     pub fn excess(&self, limit: Limit) -> f64 {
         let within = limit.rate() * self.window.as_secs_f64() + limit.burst();
         within * self.overshoot + self.slack
