--- a/crates/tinbank-allowance/tests/fleet/main.rs
+++ b/crates/tinbank-allowance/tests/fleet/main.rs
@@ -1,6 +1,7 @@
-//! Plays customers at a fleet in virtual time, and checks every window of what was let in against a count that knows all.
+//! Simulates customers of a fleet in virtual time, and compares the admitted requests with a model that has global
+//! knowledge.
 
-mod play;
+mod simulation;
 
 use std::time::Duration;
 
@@ -8,146 +9,146 @@
 use tinbank_test_support::property;
 use yare::parameterized;
 
-use self::play::{Fault, Play, Way};
+use self::simulation::{Fault, Simulation, Strategy};
 
 const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// A customer that sends five times its limit.
-fn hot() -> Play {
-    Play {
+/// Returns a simulation of a customer that sends five times its limit.
+fn above_limit() -> Simulation {
+    Simulation {
         rate: 94.0,
         burst: 94.0,
         sent: 470.0,
-        ..Play::default()
+        ..Simulation::default()
     }
 }
 
 #[parameterized(
-    calm = { Fault::None },
+    no_fault = { Fault::None },
     one_counter_is_lost = { Fault::CounterLost { at: ms(6_000) } },
-    all_hosts_lose_power = { Fault::AllLost { at: ms(6_000), back_after: ms(1_200) } },
+    all_hosts_lose_power = { Fault::AllLost { at: ms(6_000), restart_after: ms(1_200) } },
     all_hosts_lose_power_twice = { Fault::AllLostTwice { at: ms(6_000), again_after: ms(2_000) } },
-    counters_are_cut_off_from_each_other = { Fault::CountersCut { at: ms(6_000), until: ms(12_000) } },
-    hosts_are_cut_off_from_all_others = { Fault::HostsCut { hosts: 16, at: ms(6_000), until: ms(12_000) } },
+    counters_are_partitioned_from_each_other = { Fault::CountersPartitioned { at: ms(6_000), until: ms(12_000) } },
+    hosts_are_isolated = { Fault::HostsIsolated { hosts: 16, at: ms(6_000), until: ms(12_000) } },
     datagrams_are_lost = { Fault::Lossy { percent: 30 } },
 )]
-fn a_hot_customer_never_exceeds_its_limit_by_more_than_allowed(fault: Fault) {
-    let play = Play { fault, ..hot() };
+fn a_customer_above_its_limit_stays_within_the_tolerance(fault: Fault) {
+    let simulation = Simulation { fault, ..above_limit() };
 
-    let outcome = play.run(Way::Told);
+    let outcome = simulation.run(Strategy::Exchange);
 
-    assert!(outcome.most_in_window <= play.most_allowed(), "{outcome:?}");
+    assert!(outcome.max_in_window <= simulation.max_allowed(), "{outcome:?}");
 }
 
-/// A customer whose allowance is whole when it begins to send eight times its usual, shortly before a fault.
+/// The customer's allowance is complete when its load rises above the limit, shortly before a fault.
 #[parameterized(
-    a_third_of_the_hosts_is_cut_off = { Fault::HostsCut { hosts: 21, at: ms(7_000), until: ms(13_000) }, 34.0 },
-    a_third_is_cut_off_from_a_large_customer = { Fault::HostsCut { hosts: 21, at: ms(7_000), until: ms(13_000) }, 94.0 },
+    a_third_of_the_hosts_is_isolated = { Fault::HostsIsolated { hosts: 21, at: ms(7_000), until: ms(13_000) }, 34.0 },
+    a_third_is_isolated_with_a_large_customer = { Fault::HostsIsolated { hosts: 21, at: ms(7_000), until: ms(13_000) }, 94.0 },
     all_hosts_lose_power_twice = { Fault::AllLostTwice { at: ms(6_500), again_after: ms(2_700) }, 34.0 },
     a_counter_is_lost = { Fault::CounterLost { at: ms(6_000) }, 34.0 },
-    a_third_of_the_hosts_is_cut_off_together = { Fault::GroupCut { hosts: 21, at: ms(7_000), until: ms(13_000) }, 34.0 },
-    all_counters_are_lost = { Fault::CountersLost { at: ms(7_000), standbys_are_told: true }, 34.0 },
+    a_third_of_the_hosts_is_partitioned = { Fault::GroupPartitioned { hosts: 21, at: ms(7_000), until: ms(13_000) }, 34.0 },
+    all_counters_are_lost = { Fault::CountersLost { at: ms(7_000), standbys_receive_counts: true }, 34.0 },
 )]
-fn a_customer_that_has_just_become_hot_is_held_to_its_limit(fault: Fault, rate: f64) {
+fn a_customer_that_has_just_exceeded_its_limit_stays_within_the_tolerance(fault: Fault, rate: f64) {
     for seed in 0..20 {
-        let play = Play {
+        let simulation = Simulation {
             seed,
             rate,
             burst: rate,
             sent: rate * 5.0,
-            hot_from: ms(5_000),
+            above_limit_from: ms(5_000),
             fault,
-            ..Play::default()
+            ..Simulation::default()
         };
 
-        let outcome = play.run(Way::Told);
+        let outcome = simulation.run(Strategy::Exchange);
 
         assert!(
-            outcome.most_in_window <= play.most_allowed(),
+            outcome.max_in_window <= simulation.max_allowed(),
             "of {}: {outcome:?}",
-            play.most_allowed()
+            simulation.max_allowed()
         );
     }
 }
 
 #[parameterized(
-    calm = { Fault::None },
+    no_fault = { Fault::None },
     one_counter_is_lost = { Fault::CounterLost { at: ms(6_000) } },
-    all_hosts_lose_power = { Fault::AllLost { at: ms(6_000), back_after: ms(1_200) } },
+    all_hosts_lose_power = { Fault::AllLost { at: ms(6_000), restart_after: ms(1_200) } },
     a_sixth_of_the_hosts_is_lost = { Fault::HostsLost { hosts: 10, at: ms(6_000) } },
     datagrams_are_lost = { Fault::Lossy { percent: 30 } },
 )]
 fn a_customer_below_its_limit_is_never_refused(fault: Fault) {
-    let play = Play {
+    let simulation = Simulation {
         sent: 59.0,
         fault,
-        ..hot()
+        ..above_limit()
     };
 
-    let outcome = play.run(Way::Told);
+    let outcome = simulation.run(Strategy::Exchange);
 
-    assert_eq!(outcome.refused_within, 0, "{outcome:?}");
+    assert_eq!(outcome.wrongly_refused, 0, "{outcome:?}");
 }
 
-/// A customer whose callers all come back within a moment, as after a loss of power, with what they could not send meanwhile.
+/// All callers of the customer retry at the same time, with the requests that they could not send during the outage.
 #[test]
-fn callers_that_come_back_after_a_loss_of_all_are_let_in() {
-    let play = Play {
+fn retries_after_a_loss_of_all_hosts_are_admitted() {
+    let simulation = Simulation {
         sent: 150.0,
         fault: Fault::AllLost {
             at: ms(0),
-            back_after: ms(500),
+            restart_after: ms(500),
         },
         length: ms(1_000),
-        ..hot()
+        ..above_limit()
     };
 
-    let outcome = play.run(Way::Told);
+    let outcome = simulation.run(Strategy::Exchange);
 
     assert_eq!(outcome.refused, 0, "{outcome:?}");
 }
 
 #[test]
-fn a_customer_of_one_failure_domain_gets_what_it_may() {
-    let play = Play {
+fn a_customer_of_one_failure_domain_is_not_refused_below_its_limit() {
+    let simulation = Simulation {
         sent: 59.0,
         in_one_domain: true,
-        ..hot()
+        ..above_limit()
     };
 
-    let outcome = play.run(Way::Told);
+    let outcome = simulation.run(Strategy::Exchange);
 
-    assert_eq!(outcome.refused_within, 0, "{outcome:?}");
+    assert_eq!(outcome.wrongly_refused, 0, "{outcome:?}");
 }
 
 #[test]
-fn a_customer_at_its_limit_gets_all_of_it() {
-    let outcome = hot().run(Way::Told);
+fn a_customer_above_its_limit_gets_all_of_it() {
+    let outcome = above_limit().run(Strategy::Exchange);
 
-    assert!(outcome.let_in_percent_of_limit >= 98, "{outcome:?}");
+    assert!(outcome.admitted_percent_of_limit >= 98, "{outcome:?}");
 }
 
 #[test]
-fn a_lower_limit_holds_one_window_later() {
-    let play = Play {
+fn a_lowered_limit_is_enforced_after_one_window() {
+    let simulation = Simulation {
         fault: Fault::Lowered {
             at: ms(6_000),
             to: 9.4,
         },
-        ..hot()
+        ..above_limit()
     };
 
-    let outcome = play.run(Way::Told);
+    let outcome = simulation.run(Strategy::Exchange);
 
-    let lower = Play {
+    let lower = Simulation {
         rate: 9.4,
         burst: 9.4,
-        ..hot()
+        ..above_limit()
     };
     assert!(
-        outcome.most_in_window_after(ms(6_000)) <= lower.most_allowed(),
+        outcome.max_in_window_after(ms(6_000)) <= lower.max_allowed(),
         "{outcome:?}"
     );
 }
@@ -156,49 +157,49 @@
     #![proptest_config(property::config(24))]
 
     #[test]
-    fn no_window_exceeds_a_limit(
+    fn no_window_exceeds_the_tolerance(
         seed in any::<u64>(),
         rate in 1.0_f64..120.0,
         times in 1.0_f64..10.0,
         hosts in prop::sample::select(vec![3_usize, 61, 300]),
         lossy in any::<bool>(),
     ) {
-        let play = Play {
+        let simulation = Simulation {
             seed,
             hosts,
             rate,
             burst: rate,
             sent: rate * times,
             fault: if lossy { Fault::Lossy { percent: 20 } } else { Fault::CounterLost { at: ms(5_000) } },
-            ..Play::default()
+            ..Simulation::default()
         };
 
-        let outcome = play.run(Way::Told);
+        let outcome = simulation.run(Strategy::Exchange);
 
-        prop_assert!(outcome.most_in_window <= play.most_allowed(), "{:?}", outcome);
+        prop_assert!(outcome.max_in_window <= simulation.max_allowed(), "{:?}", outcome);
     }
 }
 
-/// Prints how the ways that were weighed compare: `cargo test -p tinbank-allowance --test fleet -- --ignored --nocapture`.
+/// Prints a comparison of the strategies: `cargo test -p tinbank-allowance --test fleet -- --ignored --nocapture`.
 #[test]
 #[ignore = "prints a table"]
-fn ways_compared() {
+fn strategies_compared() {
     let faults = [
         Fault::None,
         Fault::CounterLost { at: ms(6_000) },
         Fault::AllLost {
             at: ms(6_000),
-            back_after: ms(1_200),
+            restart_after: ms(1_200),
         },
         Fault::AllLostTwice {
             at: ms(6_000),
             again_after: ms(2_000),
         },
-        Fault::CountersCut {
+        Fault::CountersPartitioned {
             at: ms(6_000),
             until: ms(12_000),
         },
-        Fault::HostsCut {
+        Fault::HostsIsolated {
             hosts: 16,
             at: ms(6_000),
             until: ms(12_000),
@@ -209,23 +210,23 @@
         },
         Fault::Lossy { percent: 30 },
     ];
-    for way in [Way::Told, Way::Owner, Way::Parts] {
+    for strategy in [Strategy::Exchange, Strategy::Central, Strategy::Split] {
         for fault in faults {
-            let hot = Play { fault, ..hot() };
-            let cool = Play { sent: 59.0, ..hot };
-            let uneven = Play {
+            let above_limit = Simulation { fault, ..above_limit() };
+            let within_limit = Simulation { sent: 59.0, ..above_limit };
+            let uneven = Simulation {
                 in_one_domain: true,
-                ..cool
+                ..within_limit
             };
-            let (over, below, uneven) = (hot.run(way), cool.run(way), uneven.run(way));
+            let (above, below, uneven) = (above_limit.run(strategy), within_limit.run(strategy), uneven.run(strategy));
             println!(
-                "{way:?} {fault:?}: most in a window {} of {:.0} allowed, refused below the limit {} of {} (in one failure domain {}), messages a second {}",
-                over.most_in_window,
-                hot.most_allowed(),
-                below.refused_within,
+                "{strategy:?} {fault:?}: max per window {} of {:.0} allowed, refused below the limit {} of {} (in one failure domain {}), messages per second {}",
+                above.max_in_window,
+                above_limit.max_allowed(),
+                below.wrongly_refused,
                 below.sent,
-                uneven.refused_within,
-                over.messages_a_second,
+                uneven.wrongly_refused,
+                above.messages_per_second,
             );
         }
     }
--- a/crates/tinbank-allowance/tests/fleet/simulation.rs
+++ b/crates/tinbank-allowance/tests/fleet/simulation.rs
@@ -1,4 +1,4 @@
-//! Hosts, the counters they ask, and a customer that sends to all of them.
+//! Simulation of hosts, the counters that they use, and a customer that sends requests to all of them.
 
 use std::{
     collections::VecDeque,
@@ -7,80 +7,80 @@
 };
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
-use tinbank_allowance::{Counter, Counts, Limit, Reach, Tolerance, counter::Verdict};
+use tinbank_allowance::{Counter, Counts, Limit, Reachability, Tolerance, counter::Verdict};
 
 const CUSTOMER: &str = "c";
-/// How long the counters have known of all before a play.
-const BEFORE: Duration = Duration::from_secs(60);
+/// How long the counters have known all requests before a simulation starts.
+const WARM_UP: Duration = Duration::from_secs(60);
 const STEP: Duration = Duration::from_millis(1);
-/// Time between two messages of a counter.
-const ROUND_STEPS: u64 = 50;
-/// Time between two heartbeats of a host.
+/// Steps between two messages of a counter.
+const EXCHANGE_STEPS: u64 = 50;
+/// Steps between two heartbeats of a host.
 const HEARTBEAT_STEPS: u64 = 1_000;
-/// Time until each host has noticed that an allocator is lost: two heartbeats.
-const NOTICED: Duration = Duration::from_secs(2);
-/// Time from the loss of a host to its start at the least.
-const RESTART: Duration = Duration::from_millis(500);
-/// Counters, one for each failure domain.
+/// Time until every host has noticed the loss of an allocator: two heartbeats.
+const LOSS_DETECTION: Duration = Duration::from_secs(2);
+/// Minimum time from the loss of a host to its restart.
+const RESTART_TIME: Duration = Duration::from_millis(500);
+/// Number of counters, one per failure domain.
 const COUNTERS: usize = 3;
 
-/// How customers are counted.
+/// How customers' requests are counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
-    /// Each failure domain counts, and they tell each other.
-    Told,
-    /// One counter of all, which each request asks.
-    Owner,
-    /// Each failure domain counts for itself, for its part of the limit.
-    Parts,
+pub enum Strategy {
+    /// Each failure domain has a counter, and they exchange their counts.
+    Exchange,
+    /// A single counter, which is queried for each request.
+    Central,
+    /// Each failure domain has a counter for its own part of the limit.
+    Split,
 }
 
-/// What goes wrong, by the time since the start.
+/// A fault; times are relative to the start of the simulation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     None,
-    /// A counter is lost; another host begins to count in its place.
+    /// A counter is lost, and another host replaces it.
     CounterLost {
         at: Duration,
     },
-    /// The counters of all failure domains are lost at once; other hosts, which may have been told, begin to count.
+    /// All counters are lost at once. The hosts that replace them may have received their counts.
     CountersLost {
         at: Duration,
-        standbys_are_told: bool,
+        standbys_receive_counts: bool,
     },
-    /// All hosts are lost, and start again.
+    /// All hosts are lost, and restart.
     AllLost {
         at: Duration,
-        back_after: Duration,
+        restart_after: Duration,
     },
-    /// All hosts are lost twice within a window; the times are those at which they are back.
+    /// All hosts are lost twice within a window; the times are those of their restarts.
     AllLostTwice {
         at: Duration,
         again_after: Duration,
     },
-    /// Counters don't hear each other, nor the hosts of other failure domains.
-    CountersCut {
+    /// Counters can't reach each other, nor the hosts of other failure domains.
+    CountersPartitioned {
         at: Duration,
         until: Duration,
     },
-    /// Some hosts hear nobody, and nobody hears them, but callers and upstreams do.
-    HostsCut {
+    /// Some hosts can reach callers and upstreams, but no other hosts.
+    HostsIsolated {
         hosts: usize,
         at: Duration,
         until: Duration,
     },
-    /// Some hosts are cut off from all others together, and have counters of their own, which had been told.
-    GroupCut {
+    /// Some hosts form a partition with counters of their own, which had received the counts.
+    GroupPartitioned {
         hosts: usize,
         at: Duration,
         until: Duration,
     },
-    /// Some hosts are lost for good.
+    /// Some hosts are lost permanently.
     HostsLost {
         hosts: usize,
         at: Duration,
     },
-    /// Messages are lost.
+    /// Messages are dropped.
     Lossy {
         percent: u32,
     },
@@ -91,25 +91,25 @@
     },
 }
 
-/// A customer at a fleet.
+/// Parameters of a simulation.
 #[derive(Clone, Copy, Debug)]
-pub struct Play {
+pub struct Simulation {
     pub seed: u64,
     pub hosts: usize,
     pub rate: f64,
     pub burst: f64,
-    /// Requests that the customer sends a second.
+    /// Requests per second that the customer sends.
     pub sent: f64,
     pub fault: Fault,
-    /// Its requests come to the hosts of one failure domain only.
+    /// All requests arrive at the hosts of one failure domain.
     pub in_one_domain: bool,
-    /// How long the play takes.
+    /// Duration of the simulation.
     pub length: Duration,
-    /// Until then it sends 0.6 of its limit only.
-    pub hot_from: Duration,
+    /// Until then, the customer sends only 60% of its limit.
+    pub above_limit_from: Duration,
 }
 
-impl Default for Play {
+impl Default for Simulation {
     fn default() -> Self {
         Self {
             seed: 1,
@@ -120,24 +120,24 @@
             fault: Fault::None,
             in_one_domain: false,
             length: Duration::from_secs(16),
-            hot_from: Duration::ZERO,
+            above_limit_from: Duration::ZERO,
         }
     }
 }
 
-/// What came of a play.
+/// Result of a simulation.
 #[derive(Debug)]
 pub struct Outcome {
     pub sent: usize,
-    /// Requests let in, in the fullest window.
-    pub most_in_window: usize,
+    /// Maximum number of requests admitted in a window.
+    pub max_in_window: usize,
     pub refused: usize,
-    /// Requests refused that a count that knows all would have let in.
-    pub refused_within: usize,
-    pub let_in_percent_of_limit: usize,
-    pub messages_a_second: u64,
-    /// When requests were let in.
-    let_in: Times,
+    /// Refused requests that the model would have admitted.
+    pub wrongly_refused: usize,
+    pub admitted_percent_of_limit: usize,
+    pub messages_per_second: u64,
+    /// When requests were admitted.
+    admitted: Times,
 }
 
 /// Times since the start, in milliseconds.
@@ -151,17 +151,17 @@
 }
 
 impl Outcome {
-    /// Requests let in, in the fullest window that begins at a time or later.
-    pub fn most_in_window_after(&self, at: Duration) -> usize {
+    /// Returns the maximum number of requests admitted in a window that starts at least one window after `at`.
+    pub fn max_in_window_after(&self, at: Duration) -> usize {
         let from = at.as_millis() as u64;
         let later: Vec<u64> = self
-            .let_in
+            .admitted
             .0
             .iter()
             .copied()
             .filter(|it| *it >= from + WINDOW_STEPS)
             .collect();
-        fullest(&later)
+        max_in_any_window(&later)
     }
 }
 
@@ -172,9 +172,9 @@
 };
 const WINDOW_STEPS: u64 = 5_000;
 
-impl Play {
-    /// Requests that may be let in, in any window.
-    pub fn most_allowed(&self) -> usize {
+impl Simulation {
+    /// Returns the number of requests that may be admitted in any window.
+    pub fn max_allowed(&self) -> usize {
         let limit = self.limit();
         let within = limit.rate() * 5.0 + limit.burst();
         (within + TOLERANCE.excess(limit)) as usize
@@ -184,38 +184,38 @@
         Limit::new(self.rate, self.burst).unwrap()
     }
 
-    pub fn run(&self, way: Way) -> Outcome {
-        World::new(*self, way).run()
+    pub fn run(&self, strategy: Strategy) -> Outcome {
+        Run::new(*self, strategy).run()
     }
 }
 
-/// A counter and the hosts that it hears.
-struct Desk {
+/// A counter and the hosts that it can reach.
+struct Node {
     counter: Counter,
-    reach: Reach,
+    reachability: Reachability,
 }
 
-struct World {
-    play: Play,
-    way: Way,
+struct Run {
+    simulation: Simulation,
+    strategy: Strategy,
     start: Instant,
-    draw: StdRng,
-    /// Counters of the failure domains, then one at each host that is cut off.
-    desks: Vec<Desk>,
-    /// Messages under way, by when they arrive, and to whom.
+    rng: StdRng,
+    /// Counters of the failure domains, then one per host for isolated hosts, then the standby counters.
+    nodes: Vec<Node>,
+    /// Messages in transit: when they arrive, receiver, sender and contents.
     messages: VecDeque<(u64, usize, SocketAddr, Counts)>,
     sent_messages: u64,
     starts: u64,
-    let_in: Vec<u64>,
-    /// A count that knows all at once: what is left of the allowance.
-    exact: f64,
+    admitted: Vec<u64>,
+    /// Remaining allowance of the model with global knowledge.
+    model_level: f64,
 }
 
 fn address(index: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (index >> 8) as u8, index as u8], 7000))
 }
 
-fn fullest(times: &[u64]) -> usize {
+fn max_in_any_window(times: &[u64]) -> usize {
     let windows = times.iter().enumerate().map(|(first, from)| {
         let within = times[first..]
             .iter()
@@ -225,259 +225,259 @@
     windows.max().unwrap_or_default()
 }
 
-impl World {
-    fn new(play: Play, way: Way) -> Self {
-        let mut world = Self {
-            play,
-            way,
-            start: Instant::now() + BEFORE * 2,
-            draw: StdRng::seed_from_u64(play.seed),
-            desks: Vec::new(),
+impl Run {
+    fn new(simulation: Simulation, strategy: Strategy) -> Self {
+        let mut run = Self {
+            simulation,
+            strategy,
+            start: Instant::now() + WARM_UP * 2,
+            rng: StdRng::seed_from_u64(simulation.seed),
+            nodes: Vec::new(),
             messages: VecDeque::new(),
             sent_messages: 0,
             starts: 0,
-            let_in: Vec::new(),
-            exact: play.burst,
+            admitted: Vec::new(),
+            model_level: simulation.burst,
         };
-        for _ in 0..COUNTERS + play.hosts + COUNTERS {
-            let mut desk = world.desk(0);
-            desk.counter.forget(false, world.start - BEFORE);
-            (0..play.hosts).for_each(|host| desk.reach.heard(address(host), world.start));
-            world.desks.push(desk);
+        for _ in 0..COUNTERS + simulation.hosts + COUNTERS {
+            let mut node = run.node(0);
+            node.counter.reset(false, run.start - WARM_UP);
+            (0..simulation.hosts).for_each(|host| node.reachability.record_host(address(host), run.start));
+            run.nodes.push(node);
         }
-        world
+        run
     }
 
     fn at(&self, step: u64) -> Instant {
         self.start + STEP * step as u32
     }
 
-    /// A counter that has just begun to count, at a host that has known the others for long.
-    fn desk(&mut self, step: u64) -> Desk {
+    /// Creates a new counter on a host that has known the others for long.
+    fn node(&mut self, step: u64) -> Node {
         self.starts += 1;
-        let mut desk = Desk {
+        let mut node = Node {
             counter: Counter::new(self.starts, TOLERANCE),
-            reach: Reach::default(),
+            reachability: Reachability::default(),
         };
-        desk.reach.listed(self.play.hosts, self.start - BEFORE);
-        desk.counter.forget(false, self.at(step));
-        desk
+        node.reachability.set_host_count(self.simulation.hosts, self.start - WARM_UP);
+        node.counter.reset(false, self.at(step));
+        node
     }
 
-    /// The counters of the failure domains at hosts that have all just started.
-    fn start_anew(&mut self, step: u64) {
+    /// Replaces the counters of the failure domains by new ones on hosts that have just started.
+    fn restart_all(&mut self, step: u64) {
         for index in 0..COUNTERS {
-            let mut desk = self.desk(step);
-            desk.reach = Reach::default();
-            desk.reach.listed(self.play.hosts, self.at(step));
-            desk.counter.forget(true, self.at(step));
-            self.desks[index] = desk;
+            let mut node = self.node(step);
+            node.reachability = Reachability::default();
+            node.reachability.set_host_count(self.simulation.hosts, self.at(step));
+            node.counter.reset(true, self.at(step));
+            self.nodes[index] = node;
         }
         self.messages.clear();
     }
 
     fn run(mut self) -> Outcome {
-        let (mut sent, mut refused, mut refused_within) = (0, 0, 0);
-        for step in 0..steps(self.play.length) {
-            self.strike(step);
+        let (mut sent, mut refused, mut wrongly_refused) = (0, 0, 0);
+        for step in 0..steps(self.simulation.length) {
+            self.apply_fault(step);
             self.deliver(step);
-            if step % ROUND_STEPS == 0 {
-                self.tell(step);
+            if step % EXCHANGE_STEPS == 0 {
+                self.exchange(step);
             }
             let limit = self.limit(step);
-            self.exact = (self.exact + limit.rate() / 1_000.0).min(limit.burst().max(1.0));
-            let arrivals = match step < steps(self.play.hot_from) {
-                true => self.play.rate * 0.6 / 1_000.0,
-                false => self.play.sent / 1_000.0,
+            self.model_level = (self.model_level + limit.rate() / 1_000.0).min(limit.burst().max(1.0));
+            let arrivals = match step < steps(self.simulation.above_limit_from) {
+                true => self.simulation.rate * 0.6 / 1_000.0,
+                false => self.simulation.sent / 1_000.0,
             };
-            if self.is_dark(step) || !self.draw.random_bool(arrivals.min(1.0)) {
+            if self.is_outage(step) || !self.rng.random_bool(arrivals.min(1.0)) {
                 continue;
             }
-            let mut host = self.draw.random_range(0..self.play.hosts);
-            if self.play.in_one_domain {
+            let mut host = self.rng.random_range(0..self.simulation.hosts);
+            if self.simulation.in_one_domain {
                 host = host / COUNTERS * COUNTERS;
             }
             if self.is_lost(host, step) {
                 continue;
             }
             sent += 1;
-            let is_within = self.exact >= 1.0;
-            if is_within {
-                self.exact -= 1.0;
+            let model_admits = self.model_level >= 1.0;
+            if model_admits {
+                self.model_level -= 1.0;
             }
-            if self.ask(host, limit, step) {
-                self.let_in.push(step);
+            if self.admit(host, limit, step) {
+                self.admitted.push(step);
             } else {
                 refused += 1;
-                refused_within += usize::from(is_within);
+                wrongly_refused += usize::from(model_admits);
             }
         }
-        let of_limit = self.play.rate * self.play.length.as_secs_f64() + self.play.burst;
+        let of_limit = self.simulation.rate * self.simulation.length.as_secs_f64() + self.simulation.burst;
         Outcome {
             sent,
-            most_in_window: fullest(&self.let_in),
+            max_in_window: max_in_any_window(&self.admitted),
             refused,
-            refused_within,
-            let_in_percent_of_limit: (self.let_in.len() as f64 * 100.0 / of_limit) as usize,
-            messages_a_second: self.sent_messages * 1_000 / steps(self.play.length),
-            let_in: Times(self.let_in),
+            wrongly_refused,
+            admitted_percent_of_limit: (self.admitted.len() as f64 * 100.0 / of_limit) as usize,
+            messages_per_second: self.sent_messages * 1_000 / steps(self.simulation.length),
+            admitted: Times(self.admitted),
         }
     }
 
-    /// The limit by the configuration.
+    /// Returns the configured limit.
     fn limit(&self, step: u64) -> Limit {
-        match self.play.fault {
+        match self.simulation.fault {
             Fault::Lowered { at, to } if step >= steps(at) => Limit::new(to, to).unwrap(),
-            _ => self.play.limit(),
+            _ => self.simulation.limit(),
         }
     }
 
-    fn strike(&mut self, step: u64) {
-        match self.play.fault {
+    fn apply_fault(&mut self, step: u64) {
+        match self.simulation.fault {
             Fault::CounterLost { at } if step == steps(at) => {
-                self.desks[0] = self.desk(step);
+                self.nodes[0] = self.node(step);
             }
-            Fault::GroupCut { at, .. } if step == steps(at) => {
-                // Nobody but the hosts of their own group is heard there from now on.
-                let standbys = self.standbys();
-                for desk in &mut self.desks[standbys..] {
-                    desk.reach.forget();
+            Fault::GroupPartitioned { at, .. } if step == steps(at) => {
+                // From now on, these counters reach only the hosts of their own group.
+                let standbys = self.first_standby();
+                for node in &mut self.nodes[standbys..] {
+                    node.reachability.reset();
                 }
             }
             Fault::CountersLost { at, .. } if step == steps(at) => {
-                let standbys = self.standbys();
+                let standbys = self.first_standby();
                 for domain in 0..COUNTERS {
-                    self.desks.swap(domain, standbys + domain);
-                    let desk = &mut self.desks[domain];
+                    self.nodes.swap(domain, standbys + domain);
+                    let node = &mut self.nodes[domain];
                     let now = self.start + STEP * step as u32;
-                    if !desk.reach.is_told(now) {
-                        desk.counter.forget(false, now);
+                    if !node.reachability.has_fresh_report(now) {
+                        node.counter.reset(false, now);
                     }
                 }
             }
-            Fault::AllLost { at, back_after } if step == steps(at + back_after) => {
-                self.start_anew(step)
+            Fault::AllLost { at, restart_after } if step == steps(at + restart_after) => {
+                self.restart_all(step)
             }
             Fault::AllLostTwice { at, again_after }
                 if step == steps(at) || step == steps(at + again_after) =>
             {
-                self.start_anew(step);
+                self.restart_all(step);
             }
-            Fault::HostsCut { hosts, at, .. } if step == steps(at) => {
+            Fault::HostsIsolated { hosts, at, .. } if step == steps(at) => {
                 for host in 0..hosts {
-                    self.desks[COUNTERS + host] = self.desk(step);
+                    self.nodes[COUNTERS + host] = self.node(step);
                 }
             }
             _ => {}
         }
     }
 
-    /// True while no host is there.
-    fn is_dark(&self, step: u64) -> bool {
+    /// Returns whether all hosts are down.
+    fn is_outage(&self, step: u64) -> bool {
         let is_between =
             |from: Duration, until: Duration| (steps(from)..steps(until)).contains(&step);
-        match self.play.fault {
-            Fault::AllLost { at, back_after } => is_between(at, at + back_after),
+        match self.simulation.fault {
+            Fault::AllLost { at, restart_after } => is_between(at, at + restart_after),
             Fault::AllLostTwice { at, again_after } => {
                 let again = at + again_after;
-                is_between(at - RESTART, at) || is_between(again - RESTART, again)
+                is_between(at - RESTART_TIME, at) || is_between(again - RESTART_TIME, again)
             }
             _ => false,
         }
     }
 
     fn is_lost(&self, host: usize, step: u64) -> bool {
-        matches!(self.play.fault, Fault::HostsLost { hosts, at } if host < hosts && step >= steps(at))
+        matches!(self.simulation.fault, Fault::HostsLost { hosts, at } if host < hosts && step >= steps(at))
     }
 
-    fn is_cut(&self, host: usize, step: u64) -> bool {
-        matches!(self.play.fault, Fault::HostsCut { hosts, at, until }
+    fn is_isolated(&self, host: usize, step: u64) -> bool {
+        matches!(self.simulation.fault, Fault::HostsIsolated { hosts, at, until }
             if host < hosts && (steps(at)..steps(until)).contains(&step))
     }
 
-    fn is_in_group(&self, host: usize, step: u64) -> bool {
-        matches!(self.play.fault, Fault::GroupCut { hosts, at, until }
+    fn is_in_partition(&self, host: usize, step: u64) -> bool {
+        matches!(self.simulation.fault, Fault::GroupPartitioned { hosts, at, until }
             if host < hosts && (steps(at)..steps(until)).contains(&step))
     }
 
-    /// Index of the first of the hosts that begin to count when counters are lost or cut off.
-    fn standbys(&self) -> usize {
-        self.desks.len() - COUNTERS
+    /// Returns the index of the first standby counter, which are used when counters are lost or partitioned.
+    fn first_standby(&self) -> usize {
+        self.nodes.len() - COUNTERS
     }
 
-    fn are_counters_cut(&self, step: u64) -> bool {
-        matches!(self.play.fault, Fault::CountersCut { at, until }
+    fn are_counters_partitioned(&self, step: u64) -> bool {
+        matches!(self.simulation.fault, Fault::CountersPartitioned { at, until }
             if (steps(at)..steps(until)).contains(&step))
     }
 
-    fn ask(&mut self, host: usize, limit: Limit, step: u64) -> bool {
-        let desk = match (self.is_cut(host, step), self.way) {
-            _ if self.is_in_group(host, step) => self.standbys() + host % COUNTERS,
+    fn admit(&mut self, host: usize, limit: Limit, step: u64) -> bool {
+        let node = match (self.is_isolated(host, step), self.strategy) {
+            _ if self.is_in_partition(host, step) => self.first_standby() + host % COUNTERS,
             (true, _) => COUNTERS + host,
-            (false, Way::Owner) => 0,
+            (false, Strategy::Central) => 0,
             (false, _) => host % COUNTERS,
         };
-        if self.way == Way::Owner {
+        if self.strategy == Strategy::Central {
             self.sent_messages += 2;
         }
         let now = self.at(step);
-        let is_part = self.way == Way::Parts && desk < COUNTERS;
-        let desk = &mut self.desks[desk];
-        desk.reach.heard(address(host), now);
-        let share = desk.reach.share(now);
-        desk.counter.give_out(share, now);
-        let limit = match is_part {
-            true => part(limit),
+        let is_split = self.strategy == Strategy::Split && node < COUNTERS;
+        let node = &mut self.nodes[node];
+        node.reachability.record_host(address(host), now);
+        let share = node.reachability.share(now);
+        node.counter.set_share(share, now);
+        let limit = match is_split {
+            true => split_limit(limit),
             false => limit,
         };
-        if desk.counter.check(CUSTOMER, limit, now) != Verdict::Within {
+        if node.counter.check(CUSTOMER, limit, now) != Verdict::Within {
             return false;
         }
-        desk.counter.take(CUSTOMER, limit, now);
+        node.counter.take(CUSTOMER, limit, now);
         true
     }
 
-    /// Heartbeats of all hosts at the counters, and what counters tell each other.
-    fn tell(&mut self, step: u64) {
+    /// Sends the heartbeats of all hosts to the counters, and the counts to other counters.
+    fn exchange(&mut self, step: u64) {
         let now = self.at(step);
-        for host in 0..self.play.hosts {
-            let is_due = step % HEARTBEAT_STEPS == (host as u64 * ROUND_STEPS) % HEARTBEAT_STEPS;
-            if !is_due || self.is_lost(host, step) || self.is_dark(step) {
+        for host in 0..self.simulation.hosts {
+            let is_due = step % HEARTBEAT_STEPS == (host as u64 * EXCHANGE_STEPS) % HEARTBEAT_STEPS;
+            if !is_due || self.is_lost(host, step) || self.is_outage(step) {
                 continue;
             }
-            if self.is_cut(host, step) {
-                self.desks[COUNTERS + host].reach.heard(address(host), now);
+            if self.is_isolated(host, step) {
+                self.nodes[COUNTERS + host].reachability.record_host(address(host), now);
                 continue;
             }
-            if self.is_in_group(host, step) {
-                let standbys = self.standbys();
-                let group = &mut self.desks[standbys..];
+            if self.is_in_partition(host, step) {
+                let standbys = self.first_standby();
+                let group = &mut self.nodes[standbys..];
                 group
                     .iter_mut()
-                    .for_each(|desk| desk.reach.heard(address(host), now));
+                    .for_each(|node| node.reachability.record_host(address(host), now));
                 continue;
             }
             for domain in 0..COUNTERS {
-                if !self.are_counters_cut(step) || host % COUNTERS == domain {
-                    self.desks[domain].reach.heard(address(host), now);
+                if !self.are_counters_partitioned(step) || host % COUNTERS == domain {
+                    self.nodes[domain].reachability.record_host(address(host), now);
                 }
             }
         }
-        if self.way != Way::Told || self.is_dark(step) {
+        if self.strategy != Strategy::Exchange || self.is_outage(step) {
             return;
         }
-        let mut counting: Vec<usize> = (0..COUNTERS).collect();
-        if self.is_in_group(0, step) {
-            counting.extend(self.standbys()..self.desks.len());
+        let mut senders: Vec<usize> = (0..COUNTERS).collect();
+        if self.is_in_partition(0, step) {
+            senders.extend(self.first_standby()..self.nodes.len());
         }
-        for from in counting {
-            let desk = &mut self.desks[from];
-            let Some(counts) = desk.counter.news(&desk.reach, now) else {
+        for from in senders {
+            let node = &mut self.nodes[from];
+            let Some(counts) = node.counter.next_counts(&node.reachability, now) else {
                 continue;
             };
-            for to in self.hear(from, step) {
+            for to in self.receivers(from, step) {
                 self.sent_messages += 1;
-                if !self.are_counters_cut(step) && !self.loses() {
+                if !self.are_counters_partitioned(step) && !self.drops_message() {
                     let message = (step + 1, to, address(1_000 + from), counts.clone());
                     self.messages.push_back(message);
                 }
@@ -485,33 +485,33 @@
         }
     }
 
-    /// Which counters hear what one says: the others, and the hosts that take over when they are lost.
-    fn hear(&self, from: usize, step: u64) -> Vec<usize> {
-        let standbys = self.standbys()..self.desks.len();
+    /// Returns the counters that receive a counter's messages: the others, and possibly their standbys.
+    fn receivers(&self, from: usize, step: u64) -> Vec<usize> {
+        let standbys = self.first_standby()..self.nodes.len();
         if standbys.contains(&from) {
             return standbys.filter(|to| *to != from).collect();
         }
         let others = (0..COUNTERS).filter(move |to| *to != from);
-        match self.play.fault {
-            // Until each host has noticed for itself who is lost, those that were not told hear nothing.
+        match self.simulation.fault {
+            // Without standbys among the receivers, nothing is received until every host has noticed the loss.
             Fault::CountersLost {
                 at,
-                standbys_are_told: false,
-            } if (steps(at)..steps(at + NOTICED)).contains(&step) => Vec::new(),
+                standbys_receive_counts: false,
+            } if (steps(at)..steps(at + LOSS_DETECTION)).contains(&step) => Vec::new(),
             Fault::CountersLost {
-                standbys_are_told: true,
+                standbys_receive_counts: true,
                 ..
             } => others.chain(standbys).collect(),
-            Fault::GroupCut { .. } if !self.is_in_group(0, step) => {
+            Fault::GroupPartitioned { .. } if !self.is_in_partition(0, step) => {
                 others.chain(standbys).collect()
             }
             _ => others.collect(),
         }
     }
 
-    fn loses(&mut self) -> bool {
-        match self.play.fault {
-            Fault::Lossy { percent } => self.draw.random_range(0..100) < percent,
+    fn drops_message(&mut self) -> bool {
+        match self.simulation.fault {
+            Fault::Lossy { percent } => self.rng.random_range(0..100) < percent,
             _ => false,
         }
     }
@@ -520,16 +520,16 @@
         let now = self.at(step);
         while self.messages.front().is_some_and(|(at, ..)| *at <= step) {
             if let Some((_, to, from, counts)) = self.messages.pop_front() {
-                let desk = &mut self.desks[to];
-                desk.reach.told(from, &counts, now);
-                desk.counter.told(from, counts, now);
+                let node = &mut self.nodes[to];
+                node.reachability.record_counts(from, &counts, now);
+                node.counter.apply(from, counts, now);
             }
         }
     }
 }
 
-/// What one failure domain has of a limit where each has its own.
-fn part(limit: Limit) -> Limit {
+/// Returns the part of a limit that belongs to one failure domain.
+fn split_limit(limit: Limit) -> Limit {
     let counters = COUNTERS as f64;
     Limit::new(limit.rate() / counters, limit.burst() / counters).unwrap()
 }
