--- a/crates/tinbank-customer/src/caller.rs
+++ b/crates/tinbank-customer/src/caller.rs
@@ -1,4 +1,4 @@
-//! Who sends a request.
+//! Identification of the sender of a request.
 
 use std::rc::Rc;
 
@@ -6,28 +6,28 @@
 
 use crate::{Customer, Customers, KeyDigest};
 
-/// Who sends a request.
+/// Sender of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Caller {
-    /// The configuration has no customers, so nobody is asked for a key.
+    /// The configuration has no customers, so requests need no key.
     Unchecked,
-    /// Somebody without a key, at a route that is open to all.
+    /// Sender without a known key, on a route that does not require one.
     Anonymous,
-    /// A customer, by its key.
+    /// A customer, identified by its key.
     Customer(Rc<Customer>),
 }
 
-/// A request whose sender may not send it.
+/// Why the sender of a request can't be identified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// It carries no key.
+    /// The request has no key.
     Missing,
-    /// No customer has its key.
+    /// No customer has the key.
     Unknown,
 }
 
 impl Refusal {
-    /// Why it is refused, for the log.
+    /// Returns a description for the log.
     pub fn reason(self) -> &'static str {
         match self {
             Self::Missing => "no key",
@@ -37,7 +37,7 @@
 }
 
 impl Caller {
-    /// The customer, if it is one.
+    /// Returns the customer, if the sender is one.
     pub fn customer(&self) -> Option<&Rc<Customer>> {
         match self {
             Self::Customer(customer) => Some(customer),
@@ -45,13 +45,13 @@
         }
     }
 
-    /// The name of the customer, if it is one.
+    /// Returns the name of the customer, if the sender is one.
     pub fn name(&self) -> Option<&id::Customer> {
         self.customer().map(|customer| &customer.name)
     }
 }
 
-/// Who sends a request with a key, or without one. At a route that is open to all, a key that nobody has counts as none.
+/// Identifies the sender of a request. On a route that requires no key, an unknown key is treated like a missing one.
 pub fn identify(
     customers: Option<&Customers>,
     key: Option<&KeyDigest>,
--- a/crates/tinbank-customer/src/customers.rs
+++ b/crates/tinbank-customer/src/customers.rs
@@ -12,17 +12,17 @@
 /// A customer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Customer {
-    /// Its name, which upstreams are told.
+    /// Its name, which is sent to upstreams.
     pub name: id::Customer,
-    /// Its keys.
+    /// Digests of its keys.
     pub keys: SmallVec<[KeyDigest; 2]>,
-    /// Its rank; 0 is the highest. It goes before the one of the route.
+    /// Its rank; 0 is the highest. Takes precedence over the route's.
     pub rank: Option<u8>,
-    /// What it may send; nothing means no limit.
+    /// Its rate limit; `None` means no limit.
     pub limit: Option<Limit>,
 }
 
-/// All customers, found by their keys: one look-up a request, however many there are.
+/// All customers, indexed by key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Vec<Rc<Customer>>", into = "Vec<Rc<Customer>>")]
 pub struct Customers {
@@ -31,7 +31,7 @@
 }
 
 impl Customers {
-    /// The customer that has a key.
+    /// Returns the customer with this key.
     pub fn find_by_key(&self, key: &KeyDigest) -> Option<&Rc<Customer>> {
         let index = self.by_key.get(key)?;
         self.all.get(*index)
@@ -39,7 +39,7 @@
 }
 
 impl From<Vec<Rc<Customer>>> for Customers {
-    /// A key that two customers have belongs to the first of them, so that it is the same one's on every host.
+    /// A key of several customers belongs to the first of them, so that all hosts agree.
     fn from(all: Vec<Rc<Customer>>) -> Self {
         let mut by_key = HashMap::new();
         for (index, customer) in all.iter().enumerate() {
--- a/crates/tinbank-customer/src/key.rs
+++ b/crates/tinbank-customer/src/key.rs
@@ -1,4 +1,4 @@
-//! Keys of customers, as far as they are kept.
+//! Digests of customers' API keys.
 
 use std::{
     fmt,
@@ -9,21 +9,20 @@
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
 
-/// Bytes of a digest that are kept. Source: nobody finds another text with the same 128 bits, and 13,000 customers with two
-/// keys each take 0.4 MB.
-const BYTES: usize = 16;
+/// Bytes of a digest that are stored: enough to make collisions infeasible, at half the memory.
+const DIGEST_BYTES: usize = 16;
 
-/// The digest of a key. The key itself can't be had from it, so it may be kept and told to other hosts; it is printed
-/// nowhere all the same. Digests are compared in constant time, though their first bytes tell nothing of the key's.
+/// Digest of an API key. Does not reveal the key, so it may be stored and sent to other hosts, but is never printed.
+/// Compared in constant time.
 #[derive(Clone, Copy, Eq, Serialize, Deserialize)]
-pub struct KeyDigest([u8; BYTES]);
+pub struct KeyDigest([u8; DIGEST_BYTES]);
 
 impl KeyDigest {
-    /// The key of a text, as a request carries it or the configuration names it.
+    /// Computes the digest of a key, as found in a request or in the configuration.
     pub fn from_secret(secret: &[u8]) -> Self {
         let digest = Sha256::digest(secret);
-        let mut bytes = [0; BYTES];
-        bytes.copy_from_slice(&digest[..BYTES]);
+        let mut bytes = [0; DIGEST_BYTES];
+        bytes.copy_from_slice(&digest[..DIGEST_BYTES]);
         Self(bytes)
     }
 }
--- a/crates/tinbank-customer/src/lib.rs
+++ b/crates/tinbank-customer/src/lib.rs
@@ -1,6 +1,6 @@
-//! Tells whose key a request carries, and what that customer may do. Pure.
+//! Identifies the customer of a request by its API key. Performs no I/O.
 //!
-//! No key is kept: the configuration in memory, and what hosts tell each other of it, hold digests only. See
+//! Keys are stored only as digests, both in memory and in the configuration that hosts exchange. See
 //! `docs/design/customers.md`.
 
 mod caller;
--- a/crates/tinbank-customer/tests/customers.rs
+++ b/crates/tinbank-customer/tests/customers.rs
@@ -1,4 +1,4 @@
-//! Whose key a request carries.
+//! Identification of customers by their keys.
 
 use std::{rc::Rc, time::Instant};
 
@@ -21,7 +21,7 @@
 
 #[parameterized(
     first_key = { Some("a"), false, Ok(Some("one")) },
-    of_two_customers = { Some("b"), false, Ok(Some("one")) },
+    key_of_two_customers = { Some("b"), false, Ok(Some("one")) },
     other_customer = { Some("c"), false, Ok(Some("two")) },
     unknown = { Some("d"), false, Err(Refusal::Unknown) },
     missing = { None, false, Err(Refusal::Missing) },
@@ -29,7 +29,7 @@
     missing_at_an_open_route = { None, true, Ok(None) },
     known_at_an_open_route = { Some("c"), true, Ok(Some("two")) },
 )]
-fn a_key_names_its_customer(
+fn a_key_identifies_its_customer(
     key: Option<&str>,
     is_open: bool,
     expected: Result<Option<&str>, Refusal>,
@@ -44,14 +44,14 @@
 }
 
 #[test]
-fn nobody_is_asked_for_a_key_where_there_are_no_customers() {
+fn no_key_is_required_without_customers() {
     let caller = identify(None, None, false);
 
     assert_eq!(caller, Ok(Caller::Unchecked));
 }
 
 #[test]
-fn customers_without_any_key_left_are_still_asked_for_one() {
+fn a_key_is_required_even_if_the_customer_list_is_empty() {
     let customers = Customers::from(vec![]);
 
     let caller = identify(Some(&customers), Some(&KeyDigest::from_secret(b"a")), false);
@@ -60,30 +60,31 @@
 }
 
 #[test]
-fn customers_are_told_to_other_hosts_as_they_are() {
+fn customers_survive_a_serialization_round_trip() {
     let bytes = postcard::to_stdvec(&customers()).unwrap();
 
-    let told: Customers = postcard::from_bytes(&bytes).unwrap();
+    let decoded: Customers = postcard::from_bytes(&bytes).unwrap();
 
-    assert_eq!(told, customers());
+    assert_eq!(decoded, customers());
 }
 
 #[test]
-fn no_key_is_printed_or_told() {
+fn keys_are_neither_printed_nor_serialized() {
     let customers = vec![customer("one", &["wyy7yx5x42q492cqf75r"])].into();
 
-    let told = postcard::to_stdvec::<Customers>(&customers).unwrap();
+    let serialized = postcard::to_stdvec::<Customers>(&customers).unwrap();
 
     let printed = format!("{customers:?}");
     assert!(!printed.contains("wyy7yx5x42q492cqf75r"));
     assert!(printed.contains("Key(..)"));
-    assert!(!told.windows(8).any(|it| it == b"wyy7yx5x"));
+    assert!(!serialized.windows(8).any(|it| it == b"wyy7yx5x"));
 }
 
-/// Prints what many customers cost: `cargo test --release -p tinbank-customer --test customers -- --ignored --nocapture`.
+/// Prints the cost of many customers: `cargo test --release -p tinbank-customer --test customers -- --ignored
+/// --nocapture`.
 #[test]
 #[ignore = "prints measurements"]
-fn thirteen_thousand_customers_measured() {
+fn lookup_among_thirteen_thousand_customers_measured() {
     let keys: Vec<String> = (0..26_000)
         .map(|index| format!("wyy7yx5x42q492c{index:05}"))
         .collect();
@@ -95,21 +96,21 @@
 
     let began = Instant::now();
     let customers = Customers::from(all);
-    let taken_in = began.elapsed();
+    let built_in = began.elapsed();
     let bytes = postcard::to_stdvec(&customers).unwrap();
     let began = Instant::now();
-    let told: Customers = postcard::from_bytes(&bytes).unwrap();
-    let told_in = began.elapsed();
+    let decoded: Customers = postcard::from_bytes(&bytes).unwrap();
+    let decoded_in = began.elapsed();
     let began = Instant::now();
     let found = keys.iter().filter(|key| {
         let key = KeyDigest::from_secret(key.as_bytes());
-        identify(Some(&told), Some(&key), false).is_ok()
+        identify(Some(&decoded), Some(&key), false).is_ok()
     });
     let found = found.count();
     let each = began.elapsed() / 26_000;
 
     println!(
-        "taken in {taken_in:?}, told in {} bytes, {told_in:?}, a request {each:?}, {found} found",
+        "built in {built_in:?}, decoded from {} bytes in {decoded_in:?}, {each:?} per lookup, {found} found",
         bytes.len()
     );
 }
