--- a/crates/tinbank-allocator/src/admission.rs
+++ b/crates/tinbank-allocator/src/admission.rs
@@ -76,13 +76,18 @@
 
     fn retry_wait_until(&self, timings: RouteTimings) -> Instant {
         let slot_time = timings.slot_time.unwrap_or_default();
-        let latest = self.deadline.checked_sub(slot_time).unwrap_or(self.received);
+        let latest = self
+            .deadline
+            .checked_sub(slot_time)
+            .unwrap_or(self.received);
         latest.min(self.received + self.turnover(timings))
     }
 
     /// Returns the time in which each slot in use is likely to become free.
     fn turnover(&self, timings: RouteTimings) -> Duration {
         let time = self.deadline.saturating_duration_since(self.received);
-        timings.slot_time.unwrap_or(time / UNMEASURED_SLOT_TIME_PART)
+        timings
+            .slot_time
+            .unwrap_or(time / UNMEASURED_SLOT_TIME_PART)
     }
 }
--- a/crates/tinbank-allocator/src/allocator.rs
+++ b/crates/tinbank-allocator/src/allocator.rs
@@ -110,7 +110,8 @@
         self.has_removed_upstreams = false;
         self.upstreams.replace(upstreams);
         let upstreams = &self.upstreams;
-        let has_upstream = |service: &str| upstreams.iter().any(|it| it.upstream.service == service);
+        let has_upstream =
+            |service: &str| upstreams.iter().any(|it| it.upstream.service == service);
         let unservable = self
             .wait_queue
             .remove_unless(|request| has_upstream(&request.service));
@@ -203,7 +204,12 @@
 
     /// Records how many requests an upstream reports. Requests without a known lease are orphaned: an upstream does not
     /// notice at once that a host has lost power.
-    pub fn record_load(&mut self, upstream: &id::Instance, requests: usize, now: Instant) -> Outgoing {
+    pub fn record_load(
+        &mut self,
+        upstream: &id::Instance,
+        requests: usize,
+        now: Instant,
+    ) -> Outgoing {
         let mut out = Outgoing::new();
         if let Some(index) = self.upstreams.index_of(upstream) {
             self.upstreams[index].state.record_load(requests, now);
@@ -264,12 +270,17 @@
     }
 
     /// Returns the hosts that have sent their counts within `age`.
-    pub fn recent_count_senders(&self, age: Duration, now: Instant) -> impl Iterator<Item = SocketAddr> {
+    pub fn recent_count_senders(
+        &self,
+        age: Duration,
+        now: Instant,
+    ) -> impl Iterator<Item = SocketAddr> {
         self.reachability.recent_senders(age, now)
     }
 
     fn is_active(&self, now: Instant) -> bool {
-        self.last_contact.is_some_and(|at| now < at + ACTIVE_TIMEOUT)
+        self.last_contact
+            .is_some_and(|at| now < at + ACTIVE_TIMEOUT)
     }
 
     /// Returns whether leases may exist that no host has reported yet.
@@ -283,12 +294,19 @@
             return;
         }
         let entries = self.upstreams.iter_mut();
-        let next = entries.filter_map(|it| it.state.grants.remove_expired(now)).min();
+        let next = entries
+            .filter_map(|it| it.state.grants.remove_expired(now))
+            .min();
         // Leases granted from now on expire later.
         self.next_expiry = Some(next.unwrap_or(now + LEASE_DURATION));
     }
 
-    fn release(&mut self, from: SocketAddr, release: &Release, now: Instant) -> Option<StateChange> {
+    fn release(
+        &mut self,
+        from: SocketAddr,
+        release: &Release,
+        now: Instant,
+    ) -> Option<StateChange> {
         if release.outcome == Outcome::Leaving {
             return self.remove_leaving(&release.upstream);
         }
@@ -331,7 +349,8 @@
     }
 
     fn apply_holdings(&mut self, from: SocketAddr, holdings: &Holdings, now: Instant) {
-        self.upstreams.retain_held(from, holdings.next, &holdings.held);
+        self.upstreams
+            .retain_held(from, holdings.next, &holdings.held);
         for held in &holdings.held {
             self.renew(from, held, now);
         }
--- a/crates/tinbank-allocator/src/allocator/slot_request.rs
+++ b/crates/tinbank-allocator/src/allocator/slot_request.rs
@@ -18,7 +18,13 @@
 
 impl Allocator {
     /// Responds to a slot request.
-    pub(super) fn handle_request(&mut self, from: SocketAddr, request: SlotRequest, now: Instant, out: &mut Outgoing) {
+    pub(super) fn handle_request(
+        &mut self,
+        from: SocketAddr,
+        request: SlotRequest,
+        now: Instant,
+        out: &mut Outgoing,
+    ) {
         self.expire_leases(now);
         self.wait_queue.remove_expired(now);
         // A repeated request has lost its response, and gets the same one.
@@ -50,7 +56,12 @@
     }
 
     /// Returns the upstream at which a request may start now.
-    fn choose_upstream(&mut self, request: &SlotRequest, now: Instant, out: &mut Outgoing) -> Option<usize> {
+    fn choose_upstream(
+        &mut self,
+        request: &SlotRequest,
+        now: Instant,
+        out: &mut Outgoing,
+    ) -> Option<usize> {
         match request.class {
             Class::Online => self.choose_online(request, now, out),
             Class::Batch(due) => self.choose_batch(request, due, now, out),
@@ -58,7 +69,13 @@
     }
 
     /// Adds or renews a lease. A new one counts against the customer's allowance.
-    fn grant(&mut self, index: usize, from: SocketAddr, request: &SlotRequest, now: Instant) -> Grant {
+    fn grant(
+        &mut self,
+        index: usize,
+        from: SocketAddr,
+        request: &SlotRequest,
+        now: Instant,
+    ) -> Grant {
         let learning = self.is_learning(now);
         let entry = &mut self.upstreams[index];
         let is_known = entry.state.grants.contains(from, request.lease);
@@ -143,7 +160,12 @@
 
     /// Chooses a free slot, else one reclaimed from batch, else the least loaded upstream if the request may queue inside
     /// it.
-    fn choose_online(&mut self, request: &SlotRequest, now: Instant, out: &mut Outgoing) -> Option<usize> {
+    fn choose_online(
+        &mut self,
+        request: &SlotRequest,
+        now: Instant,
+        out: &mut Outgoing,
+    ) -> Option<usize> {
         let least = self.least_loaded(request, now)?;
         let entry = &self.upstreams[least];
         if entry.load() < entry.upstream.slots {
@@ -158,7 +180,13 @@
 
     /// Chooses a slot that leaves the headroom for online requests free. An item that can still be on time takes the slot
     /// of a late one.
-    fn choose_batch(&mut self, request: &SlotRequest, due: Due, now: Instant, out: &mut Outgoing) -> Option<usize> {
+    fn choose_batch(
+        &mut self,
+        request: &SlotRequest,
+        due: Due,
+        now: Instant,
+        out: &mut Outgoing,
+    ) -> Option<usize> {
         if self.is_learning(now) {
             return None;
         }
--- a/crates/tinbank-allocator/src/entries.rs
+++ b/crates/tinbank-allocator/src/entries.rs
@@ -103,7 +103,8 @@
         self.by_instance.clear();
         self.by_holder.clear();
         for (index, entry) in self.entries.iter().enumerate() {
-            self.by_instance.insert(entry.upstream.instance.clone(), index);
+            self.by_instance
+                .insert(entry.upstream.instance.clone(), index);
             for holder in entry.state.grants.holders() {
                 self.by_holder.entry(holder).or_default().insert(index);
             }
--- a/crates/tinbank-allocator/src/entry.rs
+++ b/crates/tinbank-allocator/src/entry.rs
@@ -31,7 +31,10 @@
     /// Records how many requests the upstream reports.
     pub fn record_load(&mut self, requests: usize, now: Instant) {
         let orphaned = requests.saturating_sub(self.grants.count_older_than(REPORT_LAG, now));
-        self.orphaned = Some(self.orphaned.map_or(orphaned, |before| before.min(orphaned)));
+        self.orphaned = Some(
+            self.orphaned
+                .map_or(orphaned, |before| before.min(orphaned)),
+        );
     }
 }
 
@@ -51,6 +54,9 @@
         self.upstream.service == request.service
             && !request.exclude.contains(&self.upstream.instance)
             && !self.state.health.is_ejected(now)
-            && self.state.slow_start.allows_request(self.upstream.cold, now)
+            && self
+                .state
+                .slow_start
+                .allows_request(self.upstream.cold, now)
     }
 }
--- a/crates/tinbank-allocator/src/waiting.rs
+++ b/crates/tinbank-allocator/src/waiting.rs
@@ -33,7 +33,11 @@
 /// Orders requests that can be on time before late ones, then by rank, then by expiry. A late request of high rank comes
 /// behind, since it would make another one late.
 fn position(request: &SlotRequest, expires_at: Instant) -> Position {
-    (matches!(request.queue, Queue::LowPriority(_)), request.rank, expires_at)
+    (
+        matches!(request.queue, Queue::LowPriority(_)),
+        request.rank,
+        expires_at,
+    )
 }
 
 /// All queued requests, the next one to be served first.
@@ -41,13 +45,21 @@
 pub(crate) struct WaitQueue(Vec<Waiter>);
 
 impl WaitQueue {
-    pub fn add(&mut self, from: SocketAddr, request: SlotRequest, max_wait: Duration, now: Instant) {
+    pub fn add(
+        &mut self,
+        from: SocketAddr,
+        request: SlotRequest,
+        max_wait: Duration,
+        now: Instant,
+    ) {
         let waiter = Waiter {
             from,
             request,
             expires_at: now + max_wait,
         };
-        let index = self.0.partition_point(|it| it.position() <= waiter.position());
+        let index = self
+            .0
+            .partition_point(|it| it.position() <= waiter.position());
         self.0.insert(index, waiter);
     }
 
@@ -58,7 +70,8 @@
     }
 
     pub fn remove(&mut self, from: SocketAddr, lease: lease::Id) {
-        self.0.retain(|it| it.from != from || it.request.lease != lease);
+        self.0
+            .retain(|it| it.from != from || it.request.lease != lease);
     }
 
     /// Removes and returns the requests for which the predicate does not hold.
@@ -75,7 +88,10 @@
     /// Returns how many requests of the same service would be served before this one.
     pub fn count_ahead(&self, request: &SlotRequest, max_wait: Duration, now: Instant) -> usize {
         let position = position(request, now + max_wait);
-        let ahead = self.0.iter().filter(|it| it.request.service == request.service);
+        let ahead = self
+            .0
+            .iter()
+            .filter(|it| it.request.service == request.service);
         ahead.filter(|it| it.position() <= position).count()
     }
 
--- a/crates/tinbank-allocator/tests/allocator.rs
+++ b/crates/tinbank-allocator/tests/allocator.rs
@@ -5,6 +5,7 @@
 
 use std::time::{Duration, Instant};
 
+use harness::{HOSTS, Harness, LEARNING_PERIOD, SLOTS, batch, host, late_batch, upstream};
 use proptest::prelude::*;
 use tinbank_allocator::{
     Allocator,
@@ -14,7 +15,6 @@
 };
 use tinbank_allowance::Tolerance;
 use tinbank_test_support::property;
-use harness::{Harness, HOSTS, LEARNING_PERIOD, SLOTS, batch, host, late_batch, upstream};
 
 #[test]
 fn an_online_request_gets_the_least_loaded_upstream() {
@@ -150,7 +150,9 @@
 
     let queued: Vec<bool> = (0..=SLOTS)
         .map(|_| {
-            harness.request(0, Class::Online, Queue::InUpstream).unwrap();
+            harness
+                .request(0, Class::Online, Queue::InUpstream)
+                .unwrap();
             harness.queued
         })
         .collect();
@@ -219,7 +221,9 @@
     harness.request(0, Class::Online, Queue::No).unwrap();
     harness.now += Duration::from_millis(250);
 
-    harness.allocator.record_load(&upstream(0).instance, 1, harness.now);
+    harness
+        .allocator
+        .record_load(&upstream(0).instance, 1, harness.now);
 
     let free = (0..SLOTS).filter_map(|_| harness.request(0, Class::Online, Queue::No));
     assert_eq!(free.count(), SLOTS - 1);
@@ -229,7 +233,8 @@
 #[test]
 fn an_inactive_allocator_needs_no_load_reports() {
     let mut harness = Harness::after_learning(1);
-    harness.allocator
+    harness
+        .allocator
         .record_load(&upstream(0).instance, SLOTS, harness.now);
     let while_active = harness.allocator.needs_load_reports(harness.now);
 
@@ -242,7 +247,9 @@
 #[test]
 fn requests_in_a_hosts_holdings_are_not_orphaned() {
     let mut harness = Harness::after_learning(1);
-    harness.allocator.record_load(&upstream(0).instance, 2, harness.now);
+    harness
+        .allocator
+        .record_load(&upstream(0).instance, 2, harness.now);
     let held = (0..2).map(|lease| Held {
         lease: 1_000 + lease,
         upstream: upstream(0).instance,
--- a/crates/tinbank-allocator/tests/cold.rs
+++ b/crates/tinbank-allocator/tests/cold.rs
@@ -111,7 +111,11 @@
             }
             let lease = self.next_lease;
             self.next_lease += 1;
-            let (out, _) = self.allocators[to].receive(from, Frame::SlotRequest(slot_request(lease)), self.now);
+            let (out, _) = self.allocators[to].receive(
+                from,
+                Frame::SlotRequest(slot_request(lease)),
+                self.now,
+            );
             self.apply(out, to, from);
         }
     }
@@ -129,7 +133,8 @@
                     upstream: grant.upstream,
                     outcome: Outcome::Served,
                 };
-                self.held.push((self.now + SLOT_TIME, allocator, from, release));
+                self.held
+                    .push((self.now + SLOT_TIME, allocator, from, release));
             }
         }
     }
@@ -179,7 +184,11 @@
     assert!(simulation.max_per_second() <= COLD_RATE as usize);
     // Each gets at least half of its rate if enough requests arrive.
     let minimum = (COLD_RATE as usize / 2 * 3 * upstreams).min(ARRIVAL_RATE as usize * 3);
-    assert!(simulation.total_granted() >= minimum, "{}", simulation.total_granted());
+    assert!(
+        simulation.total_granted() >= minimum,
+        "{}",
+        simulation.total_granted()
+    );
 }
 
 #[test]
--- a/crates/tinbank-allocator/tests/directory.rs
+++ b/crates/tinbank-allocator/tests/directory.rs
@@ -156,8 +156,15 @@
     // No datagram arrived since, so one more timeout is enough.
     directory.record_timeout(first, now);
 
-    assert!(directory.hosts_to_probe(now + Duration::from_secs(3)).is_empty());
-    assert_eq!(directory.hosts_to_probe(now + Duration::from_secs(4)).len(), 1);
+    assert!(
+        directory
+            .hosts_to_probe(now + Duration::from_secs(3))
+            .is_empty()
+    );
+    assert_eq!(
+        directory.hosts_to_probe(now + Duration::from_secs(4)).len(),
+        1
+    );
 }
 
 #[test]
--- a/crates/tinbank-allocator/tests/harness/mod.rs
+++ b/crates/tinbank-allocator/tests/harness/mod.rs
@@ -79,7 +79,9 @@
             held: HashMap::new(),
             upstreams: upstreams.into(),
         };
-        harness.allocator.set_upstreams((0..upstreams).map(upstream).collect());
+        harness
+            .allocator
+            .set_upstreams((0..upstreams).map(upstream).collect());
         harness.send_heartbeat(0);
         harness.now += LEARNING_PERIOD;
         (0..HOSTS).for_each(|host| harness.send_heartbeat(host));
@@ -99,7 +101,9 @@
             rank: self.rank,
             meter: None,
         };
-        let (out, _) = self.allocator.receive(host(by), Frame::SlotRequest(request), self.now);
+        let (out, _) = self
+            .allocator
+            .receive(host(by), Frame::SlotRequest(request), self.now);
         self.pending.insert((host(by), lease), class);
         self.apply(out);
         let held = self.held.get(&(host(by), lease));
@@ -168,7 +172,9 @@
         let Some((by, lease)) = keys.get(pick % keys.len().max(1)).copied() else {
             return;
         };
-        let host_index = (0..HOSTS).find(|host_index| host(*host_index) == by).expect("a host");
+        let host_index = (0..HOSTS)
+            .find(|host_index| host(*host_index) == by)
+            .expect("a host");
         self.release(host_index, lease, Outcome::Served);
     }
 
--- a/crates/tinbank-allocator/tests/load/simulation.rs
+++ b/crates/tinbank-allocator/tests/load/simulation.rs
@@ -17,7 +17,7 @@
 use tinbank_allowance::Tolerance;
 
 use crate::{
-    caller::{Caller, Rng, CallerResult, Number, Tally},
+    caller::{Caller, CallerResult, Number, Rng, Tally},
     upstream::{Started, Upstream},
 };
 
@@ -208,9 +208,15 @@
             }
             Event::ReachesHost(frame) => self.on_datagram(frame),
             Event::ReachesUpstream(number) => self.on_reaches_upstream(number),
-            Event::Completed(number, sequence) if self.is_current(number, sequence) => self.on_completed(number),
-            Event::WaitExpired(number, sequence) if self.is_waiting(number, sequence) => self.on_wait_expired(number),
-            Event::Resend(number, sequence) if self.is_waiting(number, sequence) => self.resend(number),
+            Event::Completed(number, sequence) if self.is_current(number, sequence) => {
+                self.on_completed(number)
+            }
+            Event::WaitExpired(number, sequence) if self.is_waiting(number, sequence) => {
+                self.on_wait_expired(number)
+            }
+            Event::Resend(number, sequence) if self.is_waiting(number, sequence) => {
+                self.resend(number)
+            }
             Event::Completed(..) | Event::WaitExpired(..) | Event::Resend(..) => {}
             Event::NextItem(domain) => self.next_item(domain),
             Event::Heartbeat(domain) => self.heartbeat(domain),
@@ -291,7 +297,10 @@
         // Resends the request in case its response is lost.
         self.schedule(10 * LATENCY, Event::Resend(number, sequence));
         let max_wait = queue.max_wait().unwrap_or(25 * LATENCY);
-        self.schedule(max_wait.max(25 * LATENCY), Event::WaitExpired(number, sequence));
+        self.schedule(
+            max_wait.max(25 * LATENCY),
+            Event::WaitExpired(number, sequence),
+        );
     }
 
     fn send_slot_request(&mut self, number: Number) {
@@ -332,14 +341,17 @@
     }
 
     fn is_current(&self, number: Number, sequence: u32) -> bool {
-        self.work.get(&number).is_some_and(|it| it.sequence == sequence)
+        self.work
+            .get(&number)
+            .is_some_and(|it| it.sequence == sequence)
     }
 
     /// Handles the end of a wait: a queued request is refused, one without a response goes to the next allocator.
     fn on_wait_expired(&mut self, number: Number) {
         let work = &self.work[&number];
         let frame = Frame::Withdraw(lease(number, work.sequence));
-        let event = Event::ReachesAllocator(work.domain, host(number % self.load.failure_domains), frame);
+        let event =
+            Event::ReachesAllocator(work.domain, host(number % self.load.failure_domains), frame);
         let has_waited = work.queue.and_then(Queue::max_wait).is_some();
         self.send(event);
         match has_waited {
@@ -350,7 +362,9 @@
 
     fn on_datagram(&mut self, frame: Frame) {
         match frame {
-            Frame::SlotResponse(SlotResponse { lease, verdict }) => self.on_response(lease, verdict),
+            Frame::SlotResponse(SlotResponse { lease, verdict }) => {
+                self.on_response(lease, verdict)
+            }
             Frame::Reclaim(lease) => {
                 let (number, sequence) = parse_lease(lease);
                 if self.is_current(number, sequence) {
@@ -366,10 +380,12 @@
         let (number, sequence) = parse_lease(lease);
         match verdict {
             Verdict::Waiting => {}
-            Verdict::Denied if self.is_waiting(number, sequence) => match self.work[&number].is_batch {
-                true => drop(self.work.remove(&number)),
-                false => self.request_slot(number),
-            },
+            Verdict::Denied if self.is_waiting(number, sequence) => {
+                match self.work[&number].is_batch {
+                    true => drop(self.work.remove(&number)),
+                    false => self.request_slot(number),
+                }
+            }
             Verdict::Granted(grant) if self.is_waiting(number, sequence) => {
                 let (domain, index) = location(&grant.upstream);
                 let work = self.work.get_mut(&number).expect("work");
@@ -386,7 +402,11 @@
                     outcome: Outcome::Inconclusive,
                 };
                 let from = host(number % self.load.failure_domains);
-                self.send(Event::ReachesAllocator(domain, from, Frame::Release(release)));
+                self.send(Event::ReachesAllocator(
+                    domain,
+                    from,
+                    Frame::Release(release),
+                ));
             }
             _ => {}
         }
@@ -416,8 +436,13 @@
         let held = held * slowdown * if is_batch { BATCH_SLOT_TIME_FACTOR } else { 1 };
         if !is_batch {
             let first_event_at = self.now + self.load.first_event * slowdown;
-            let is_on_time = first_event_at <= self.callers[number].first_attempt + self.load.target;
-            let result = if is_on_time { CallerResult::OnTime } else { CallerResult::Late };
+            let is_on_time =
+                first_event_at <= self.callers[number].first_attempt + self.load.target;
+            let result = if is_on_time {
+                CallerResult::OnTime
+            } else {
+                CallerResult::Late
+            };
             self.tally.record(result);
         }
         self.schedule(held, Event::Completed(number, sequence));
@@ -443,7 +468,11 @@
             outcome: Outcome::Served,
         };
         let from = host(number % self.load.failure_domains);
-        self.send(Event::ReachesAllocator(domain, from, Frame::Release(release)));
+        self.send(Event::ReachesAllocator(
+            domain,
+            from,
+            Frame::Release(release),
+        ));
         let started = self.upstreams[domain][index].remove(number);
         self.start(domain, index, started);
     }
@@ -461,7 +490,8 @@
         if will_retry {
             return self.schedule(retry_after, Event::Arrival(number));
         }
-        self.tally.record(CallerResult::Refused(self.now - caller.received));
+        self.tally
+            .record(CallerResult::Refused(self.now - caller.received));
     }
 
     fn next_item(&mut self, domain: usize) {
@@ -525,7 +555,9 @@
 }
 
 fn location(upstream: &str) -> (usize, usize) {
-    let (domain, index) = upstream.split_once('-').expect("an upstream of the simulation");
+    let (domain, index) = upstream
+        .split_once('-')
+        .expect("an upstream of the simulation");
     (
         domain.parse().expect("a number"),
         index.parse().expect("a number"),
--- a/crates/tinbank-allocator/tests/load/upstream.rs
+++ b/crates/tinbank-allocator/tests/load/upstream.rs
@@ -58,7 +58,12 @@
 
 /// Returns how many requests an ideal allocator could serve on time: one with global knowledge that grants all slots
 /// from a single queue, in order, to requests that can still be on time and to no others.
-pub fn ideal_on_time(arrivals: &[Instant], slots: usize, held: Duration, max_wait: Duration) -> usize {
+pub fn ideal_on_time(
+    arrivals: &[Instant],
+    slots: usize,
+    held: Duration,
+    max_wait: Duration,
+) -> usize {
     let Some(first) = arrivals.first() else {
         return 0;
     };
--- a/crates/tinbank-allocator/tests/waiting.rs
+++ b/crates/tinbank-allocator/tests/waiting.rs
@@ -5,11 +5,11 @@
 
 use std::time::Duration;
 
+use harness::{Harness, SLOTS, batch};
 use tinbank_allocator::{
     frame::{Frame, Queue, SlotResponse, Verdict},
     lease::{Class, Id, Outcome},
 };
-use harness::{Harness, SLOTS, batch};
 
 /// How long requests hold their slots.
 const SLOT_TIME: Duration = Duration::from_millis(800);
@@ -49,7 +49,11 @@
 
     assert_eq!((too_short, first, second), (0, 1, 1));
     assert_eq!(harness.pending.len(), 1);
-    assert!(harness.request(0, Class::Online, Queue::InUpstream).is_some());
+    assert!(
+        harness
+            .request(0, Class::Online, Queue::InUpstream)
+            .is_some()
+    );
 }
 
 #[test]
--- a/crates/tinbank-allowance/src/bucket.rs
+++ b/crates/tinbank-allowance/src/bucket.rs
@@ -20,7 +20,10 @@
 
 impl Bucket {
     pub fn new(level: f64, now: Instant) -> Self {
-        Self { level, updated_at: now }
+        Self {
+            level,
+            updated_at: now,
+        }
     }
 
     /// Refills the bucket and returns its level. Tokens above the capacity are lost.
--- a/crates/tinbank-allowance/src/counter.rs
+++ b/crates/tinbank-allowance/src/counter.rs
@@ -222,7 +222,9 @@
             peer.incarnation = counts.incarnation;
             peer.totals.clear();
         }
-        let was_out_of_contact = peer.received_at.is_none_or(|at| now > at + LEVEL_SYNC_AFTER);
+        let was_out_of_contact = peer
+            .received_at
+            .is_none_or(|at| now > at + LEVEL_SYNC_AFTER);
         peer.received_at = Some(now);
         for count in counts.customers {
             let before = peer.totals.get(&count.customer).copied();
@@ -261,7 +263,8 @@
     fn initial_level(&self, limit: Limit, now: Instant) -> f64 {
         let started_at = self.started_at.unwrap_or(now);
         let known_for = (now.saturating_duration_since(started_at) + self.downtime).as_secs_f64();
-        (self.tolerance.excess(limit) * INITIAL_EXCESS_SHARE + limit.rate() * known_for) * self.share
+        (self.tolerance.excess(limit) * INITIAL_EXCESS_SHARE + limit.rate() * known_for)
+            * self.share
     }
 
     fn bucket_config(&self, limit: Limit) -> BucketConfig {
@@ -277,8 +280,7 @@
         let accounts = &mut self.accounts;
         accounts.retain(|_, it| it.sends_left > 0 || now < it.bucket.last_updated() + IDLE_TIMEOUT);
         for peer in self.peers.values_mut() {
-            peer
-                .totals
+            peer.totals
                 .retain(|customer, _| accounts.contains_key(customer));
         }
     }
@@ -297,7 +299,14 @@
 
     /// Applies another counter's total: deducts the difference from the one before or, if there is none to compare
     /// with, lowers the bucket to the reported level.
-    fn apply_total(&mut self, config: BucketConfig, total: u64, before: Option<u64>, level: f64, now: Instant) {
+    fn apply_total(
+        &mut self,
+        config: BucketConfig,
+        total: u64,
+        before: Option<u64>,
+        level: f64,
+        now: Instant,
+    ) {
         // Refill first, so that a full bucket loses the tokens above its capacity before the deduction.
         self.bucket.level(config, now);
         match before {
--- a/crates/tinbank-allowance/src/fallback.rs
+++ b/crates/tinbank-allowance/src/fallback.rs
@@ -40,7 +40,13 @@
     }
 
     /// Returns whether a customer's request is admitted, and counts it if so. `hosts` is the total number of hosts.
-    pub fn try_acquire(&mut self, customer: &str, limit: Limit, hosts: usize, now: Instant) -> bool {
+    pub fn try_acquire(
+        &mut self,
+        customer: &str,
+        limit: Limit,
+        hosts: usize,
+        now: Instant,
+    ) -> bool {
         let window = self.tolerance.window.as_secs_f64();
         let window_excess = self.tolerance.excess(limit) * EXCESS_SHARE / hosts.max(1) as f64;
         let config = BucketConfig {
--- a/crates/tinbank-allowance/src/reach.rs
+++ b/crates/tinbank-allowance/src/reach.rs
@@ -106,7 +106,9 @@
     /// Returns the number of reachable hosts.
     pub fn reachable_hosts(&self, now: Instant) -> usize {
         let last_seen = self.last_seen.values();
-        last_seen.filter(|at| now < **at + UNREACHABLE_AFTER).count()
+        last_seen
+            .filter(|at| now < **at + UNREACHABLE_AFTER)
+            .count()
     }
 
     /// Forgets all hosts, for use when none has sent anything for a while.
@@ -120,7 +122,8 @@
         if self.refresh_at.is_none_or(|at| now >= at) {
             self.refresh_at = Some(now + SHARE_REFRESH);
             self.last_seen.retain(|_, at| now < *at + LOST_AFTER);
-            self.reports.retain(|_, report| now < report.at + REPORT_RETENTION);
+            self.reports
+                .retain(|_, report| now < report.at + REPORT_RETENTION);
             self.share = self.compute_share(now);
         }
         self.share
@@ -146,7 +149,11 @@
     /// Returns the share of the counters that are reachable, including this one, of those that recently were. Reacts
     /// faster to a partition than the reachable hosts do, which send only one heartbeat per second.
     fn counter_share(&self, now: Instant) -> f64 {
-        let reachable = 1 + self.reports.values().filter(|report| report.is_fresh(now)).count();
+        let reachable = 1 + self
+            .reports
+            .values()
+            .filter(|report| report.is_fresh(now))
+            .count();
         reachable as f64 / (1 + self.reports.len()) as f64
     }
 }
--- a/crates/tinbank-allowance/tests/fleet/main.rs
+++ b/crates/tinbank-allowance/tests/fleet/main.rs
@@ -35,11 +35,17 @@
     datagrams_are_lost = { Fault::Lossy { percent: 30 } },
 )]
 fn a_customer_above_its_limit_stays_within_the_tolerance(fault: Fault) {
-    let simulation = Simulation { fault, ..above_limit() };
+    let simulation = Simulation {
+        fault,
+        ..above_limit()
+    };
 
     let outcome = simulation.run(Strategy::Exchange);
 
-    assert!(outcome.max_in_window <= simulation.max_allowed(), "{outcome:?}");
+    assert!(
+        outcome.max_in_window <= simulation.max_allowed(),
+        "{outcome:?}"
+    );
 }
 
 /// The customer's allowance is complete when its load rises above the limit, shortly before a fault.
@@ -212,13 +218,23 @@
     ];
     for strategy in [Strategy::Exchange, Strategy::Central, Strategy::Split] {
         for fault in faults {
-            let above_limit = Simulation { fault, ..above_limit() };
-            let within_limit = Simulation { sent: 59.0, ..above_limit };
+            let above_limit = Simulation {
+                fault,
+                ..above_limit()
+            };
+            let within_limit = Simulation {
+                sent: 59.0,
+                ..above_limit
+            };
             let uneven = Simulation {
                 in_one_domain: true,
                 ..within_limit
             };
-            let (above, below, uneven) = (above_limit.run(strategy), within_limit.run(strategy), uneven.run(strategy));
+            let (above, below, uneven) = (
+                above_limit.run(strategy),
+                within_limit.run(strategy),
+                uneven.run(strategy),
+            );
             println!(
                 "{strategy:?} {fault:?}: max per window {} of {:.0} allowed, refused below the limit {} of {} (in one failure domain {}), messages per second {}",
                 above.max_in_window,
--- a/crates/tinbank-allowance/tests/fleet/simulation.rs
+++ b/crates/tinbank-allowance/tests/fleet/simulation.rs
@@ -242,7 +242,8 @@
         for _ in 0..COUNTERS + simulation.hosts + COUNTERS {
             let mut node = run.node(0);
             node.counter.reset(false, run.start - WARM_UP);
-            (0..simulation.hosts).for_each(|host| node.reachability.record_host(address(host), run.start));
+            (0..simulation.hosts)
+                .for_each(|host| node.reachability.record_host(address(host), run.start));
             run.nodes.push(node);
         }
         run
@@ -259,7 +260,8 @@
             counter: Counter::new(self.starts, TOLERANCE),
             reachability: Reachability::default(),
         };
-        node.reachability.set_host_count(self.simulation.hosts, self.start - WARM_UP);
+        node.reachability
+            .set_host_count(self.simulation.hosts, self.start - WARM_UP);
         node.counter.reset(false, self.at(step));
         node
     }
@@ -269,7 +271,8 @@
         for index in 0..COUNTERS {
             let mut node = self.node(step);
             node.reachability = Reachability::default();
-            node.reachability.set_host_count(self.simulation.hosts, self.at(step));
+            node.reachability
+                .set_host_count(self.simulation.hosts, self.at(step));
             node.counter.reset(true, self.at(step));
             self.nodes[index] = node;
         }
@@ -285,7 +288,8 @@
                 self.exchange(step);
             }
             let limit = self.limit(step);
-            self.model_level = (self.model_level + limit.rate() / 1_000.0).min(limit.burst().max(1.0));
+            self.model_level =
+                (self.model_level + limit.rate() / 1_000.0).min(limit.burst().max(1.0));
             let arrivals = match step < steps(self.simulation.above_limit_from) {
                 true => self.simulation.rate * 0.6 / 1_000.0,
                 false => self.simulation.sent / 1_000.0,
@@ -312,7 +316,8 @@
                 wrongly_refused += usize::from(model_admits);
             }
         }
-        let of_limit = self.simulation.rate * self.simulation.length.as_secs_f64() + self.simulation.burst;
+        let of_limit =
+            self.simulation.rate * self.simulation.length.as_secs_f64() + self.simulation.burst;
         Outcome {
             sent,
             max_in_window: max_in_any_window(&self.admitted),
@@ -446,7 +451,9 @@
                 continue;
             }
             if self.is_isolated(host, step) {
-                self.nodes[COUNTERS + host].reachability.record_host(address(host), now);
+                self.nodes[COUNTERS + host]
+                    .reachability
+                    .record_host(address(host), now);
                 continue;
             }
             if self.is_in_partition(host, step) {
@@ -459,7 +466,9 @@
             }
             for domain in 0..COUNTERS {
                 if !self.are_counters_partitioned(step) || host % COUNTERS == domain {
-                    self.nodes[domain].reachability.record_host(address(host), now);
+                    self.nodes[domain]
+                        .reachability
+                        .record_host(address(host), now);
                 }
             }
         }
--- a/crates/tinbank-customer/tests/customers.rs
+++ b/crates/tinbank-customer/tests/customers.rs
@@ -9,7 +9,10 @@
 fn customer(name: &str, keys: &[&str]) -> Rc<Customer> {
     Rc::new(Customer {
         name: name.to_owned(),
-        keys: keys.iter().map(|key| KeyDigest::from_secret(key.as_bytes())).collect(),
+        keys: keys
+            .iter()
+            .map(|key| KeyDigest::from_secret(key.as_bytes()))
+            .collect(),
         rank: Some(1),
         limit: Limit::new(90.0, 90.0),
     })
