--- a/crates/tinbank-quarantine/src/table.rs
+++ b/crates/tinbank-quarantine/src/table.rs
@@ -1,10 +1,10 @@
-//! The requests under which upstreams have ended, as one host knows them.
+//! The requests that one host suspects of crashing upstreams.
 //!
-//! Nobody can tell which request of all that an upstream ran was the reason for its end, so each gets the blame for it, and a request
-//! is held back once enough upstreams have ended under it. A request that ends upstreams does so at the same event of its answer each
-//! time, mostly before the first. One that gets further than before had no part in the ends before, and whoever gets a
-//! whole answer had none in any. Without that, where a third of the upstreams ended by themselves each two seconds, 28 items of jobs were held
-//! back within a minute (`tests/fleet`, 12 hosts), which run for long and come again until they are whole.
+//! The cause of a crash can't be told among all requests that the upstream was running, so each of them becomes a suspect, and a
+//! suspect is quarantined once enough upstreams have crashed while they ran it. A request that crashes upstreams does so at the
+//! same event of its answer each time, mostly before the first. One that gets further than before did not cause the earlier
+//! crashes, and one that completes caused none. Without that rule, crashes with other causes would quarantine long-running items
+//! of jobs, which are retried until they complete.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -16,269 +16,269 @@
 
 use crate::{
     Fingerprint,
-    report::{InFlight, Quarantined, Position, Report},
+    report::{CrashReport, InFlight, Position, Quarantined},
 };
 
-/// Upstreams that have to end under a request before it is held back. With two, one bystander of some 570 that were blamed would have
-/// been held back in two minutes in which a third of all upstreams ended by themselves each 2 s; with three none was.
-pub const PROOF: u32 = 3;
-/// Events by which two answers may differ that got to the same one. Source: upstreams ended 48 to 122 ms after they began to run the
-/// request that was seen to do so, and answers have an event each 25 ms or so; what is under way when an upstream ends is lost.
-const SAME: Position = 5;
-/// How long a request is held back at first. Then it may be tried again, in case what it ran into was mended. Doubled with
-/// each upstream beyond the proof. Source: each try costs the answers of all that an upstream runs, and seconds without it.
-const HOLD: Duration = Duration::from_secs(60 * 60);
-/// Longest time for which a request is held back, and for which an upstream that ended counts. Source: a caller that repeats
-/// its requests does so each day at the latest.
-const LONGEST_HOLD: Duration = Duration::from_secs(24 * 60 * 60);
-/// Most requests that are known, some 200 bytes each: 0.8 MB. Source: each upstream that ends brings those that it ran, some ten,
-/// so the bystanders of the last four hundred ends are there. Beyond that, whoever was blamed longest ago is forgotten.
+/// Number of upstreams that have to crash while they run a request before it is quarantined. With fewer, frequent crashes with
+/// other causes would quarantine innocent requests.
+pub const CRASH_THRESHOLD: u32 = 3;
+/// Events by which two positions may differ and still count as the same one: events in flight are lost when an upstream crashes.
+const POSITION_TOLERANCE: Position = 5;
+/// Duration of the first quarantine. Doubled with each crash beyond the threshold. A request is tried again afterwards, in case
+/// the fault that it triggers was fixed; each try costs the answers of all requests that the upstream runs.
+const FIRST_QUARANTINE: Duration = Duration::from_secs(60 * 60);
+/// Longest duration of a quarantine, and time for which a crash counts. Callers that repeat a request do so within a day.
+const MAX_QUARANTINE: Duration = Duration::from_secs(24 * 60 * 60);
+/// Largest number of suspects, of some 200 bytes each. The least recently blamed ones are evicted beyond that.
 pub const CAPACITY: usize = 4_096;
-/// Requests that are forgotten together where there is no room: to look for the oldest takes a look at all.
-const FORGOTTEN_AT_ONCE: usize = CAPACITY / 8;
-/// Names of upstreams that are kept of a request, so that none counts twice.
-const NAMES: usize = 8;
+/// Number of suspects evicted together, since finding the oldest takes a scan of all.
+const EVICTION_BATCH: usize = CAPACITY / 8;
+/// Number of upstreams kept for each suspect, so that none is counted twice.
+const MAX_UPSTREAMS: usize = 8;
 
-/// What is believed anew of a request.
+/// A change of what is known of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// One more upstream has ended under it, too few to hold it back.
+    /// One more upstream crashed while it ran the request, too few to quarantine it.
     Suspected(Quarantined),
-    /// It is held back from now on, or for longer.
-    HeldBack(Quarantined),
-    /// It is not held back any more, and nothing is known against it.
+    /// The request is quarantined, or its quarantine is extended.
+    Quarantined(Quarantined),
+    /// The request is no longer a suspect.
     Cleared(Fingerprint),
 }
 
-/// What is to be written to the store.
+/// A pending write to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Write {
-    /// A request that is held back.
-    Hold(Quarantined),
-    /// One that is not held back any more.
-    Lift(Fingerprint),
+    /// Adds a quarantined request.
+    Quarantine(Quarantined),
+    /// Removes a request that is no longer quarantined.
+    Release(Fingerprint),
 }
 
-/// The requests that are known.
+/// The suspects of one host.
 #[derive(Debug, Default)]
 pub struct Table {
     suspects: HashMap<Fingerprint, Suspect>,
-    /// Those of them that are held back. Every request asks whether there are any, and suspects stay for a day.
-    held: HashSet<Fingerprint>,
-    /// Requests that stand in the store, and are not held back here.
-    to_lift: HashSet<Fingerprint>,
+    /// The quarantined suspects. Each request checks whether there are any, and suspects stay for a day.
+    quarantined: HashSet<Fingerprint>,
+    /// Requests that are in the store and no longer quarantined here.
+    to_release: HashSet<Fingerprint>,
 }
 
 #[derive(Debug)]
 struct Suspect {
-    /// Upstreams that ended under it.
+    /// Number of upstreams that crashed while they ran it.
     ended: u32,
-    /// The event that its answer had got to when they did.
+    /// Furthest event of its answer before these crashes.
     reached: Position,
-    /// The last ones of them.
-    names: SmallVec<[id::Instance; 4]>,
-    blamed_at: Instant,
-    held_until: Option<Instant>,
-    /// It stands in the store.
-    is_listed: bool,
+    /// The latest of these upstreams.
+    upstreams: SmallVec<[id::Instance; 4]>,
+    last_crash_at: Instant,
+    quarantined_until: Option<Instant>,
+    /// Whether the store has it.
+    is_stored: bool,
 }
 
 impl Table {
-    /// True if nothing is known against any request, which spares a look at each request's content.
+    /// Returns whether there are no suspects, in which case fingerprints need not be computed.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Number of requests that are known.
+    /// Returns the number of suspects.
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
 
-    /// True if anything is known against a request.
-    pub fn suspects(&self, request: Fingerprint) -> bool {
+    /// Returns whether a request is a suspect.
+    pub fn is_suspect(&self, request: Fingerprint) -> bool {
         self.suspects.contains_key(&request)
     }
 
-    /// True if a request is held back.
-    pub fn holds_any(&self) -> bool {
-        !self.held.is_empty()
+    /// Returns whether any request is quarantined.
+    pub fn has_quarantined(&self) -> bool {
+        !self.quarantined.is_empty()
     }
 
-    /// Number of requests that are held back.
-    pub fn held(&self) -> usize {
-        self.held.len()
+    /// Returns the number of quarantined requests.
+    pub fn quarantined(&self) -> usize {
+        self.quarantined.len()
     }
 
-    /// Requests that stand in the store.
-    pub fn listed(&self) -> Vec<Quarantined> {
-        let listed = self.suspects.iter().filter(|(_, it)| it.is_listed);
-        listed.map(|(request, it)| it.held(*request)).collect()
+    /// Returns the requests that the store has.
+    pub fn stored(&self) -> Vec<Quarantined> {
+        let stored = self.suspects.iter().filter(|(_, it)| it.is_stored);
+        stored.map(|(request, it)| it.summary(*request)).collect()
     }
 
-    /// Until when a request is held back, if it is.
-    pub fn held_until(&self, request: Fingerprint, now: Instant) -> Option<Instant> {
+    /// Returns the end of a request's quarantine, if it is quarantined.
+    pub fn quarantined_until(&self, request: Fingerprint, now: Instant) -> Option<Instant> {
         let suspect = self.suspects.get(&request)?;
-        suspect.held_until.filter(|until| now < *until)
+        suspect.quarantined_until.filter(|until| now < *until)
     }
 
-    /// Takes in that an upstream has ended, here or as another host has told.
-    pub fn blame(&mut self, report: &Report, now: Instant) -> Vec<Change> {
+    /// Records a crash of an upstream, seen here or reported by another host.
+    pub fn record_crash(&mut self, report: &CrashReport, now: Instant) -> Vec<Change> {
         let mut changes = Vec::new();
-        for blamed in &report.requests {
-            changes.extend(self.pass(blamed.request, blamed.reached));
-            changes.extend(self.blame_one(*blamed, &report.upstream, now));
+        for in_flight in &report.requests {
+            changes.extend(self.record_progress(in_flight.request, in_flight.reached));
+            changes.extend(self.blame(*in_flight, &report.upstream, now));
         }
         changes
     }
 
-    fn blame_one(
+    fn blame(
         &mut self,
-        blamed: InFlight,
+        in_flight: InFlight,
         upstream: &id::Instance,
         now: Instant,
     ) -> Option<Change> {
-        let InFlight { request, reached } = blamed;
-        self.make_room(request);
+        let InFlight { request, reached } = in_flight;
+        self.evict_if_full(request);
         let suspect = self.suspects.entry(request);
         let suspect = suspect.or_insert_with(|| Suspect::new(now));
-        // It has been there before, and upstreams went on.
-        let was_further = reached + SAME < suspect.reached;
-        if was_further || suspect.names.contains(upstream) {
+        // The request has passed this position before without a crash.
+        let was_further = reached + POSITION_TOLERANCE < suspect.reached;
+        if was_further || suspect.upstreams.contains(upstream) {
             return None;
         }
         suspect.reached = suspect.reached.max(reached);
-        if suspect.names.len() == NAMES {
-            suspect.names.remove(0);
+        if suspect.upstreams.len() == MAX_UPSTREAMS {
+            suspect.upstreams.remove(0);
         }
-        suspect.names.push(upstream.clone());
+        suspect.upstreams.push(upstream.clone());
         suspect.ended += 1;
-        suspect.blamed_at = now;
-        if suspect.ended < PROOF {
-            return Some(Change::Suspected(suspect.held(request)));
+        suspect.last_crash_at = now;
+        if suspect.ended < CRASH_THRESHOLD {
+            return Some(Change::Suspected(suspect.summary(request)));
         }
-        suspect.hold(now);
-        self.held.insert(request);
-        self.to_lift.remove(&request);
-        Some(Change::HeldBack(suspect.held(request)))
+        suspect.quarantine(now);
+        self.quarantined.insert(request);
+        self.to_release.remove(&request);
+        Some(Change::Quarantined(suspect.summary(request)))
     }
 
-    /// A request got this far at an upstream that went on. It is cleared if upstreams had ended before that.
-    pub fn pass(&mut self, request: Fingerprint, reached: Position) -> Option<Change> {
+    /// Records that the answer to a request reached an event. Clears the request if upstreams had crashed before that event.
+    pub fn record_progress(&mut self, request: Fingerprint, reached: Position) -> Option<Change> {
         let suspect = self.suspects.get(&request)?;
-        match reached > suspect.reached + SAME {
+        match reached > suspect.reached + POSITION_TOLERANCE {
             true => self.clear(request),
             false => None,
         }
     }
 
-    /// A request got a whole answer, here or at another host, so it ends no upstreams. Nothing if nobody held that against it.
+    /// Clears a request whose answer was completed, here or at another host. Returns None if it was no suspect.
     pub fn clear(&mut self, request: Fingerprint) -> Option<Change> {
-        self.forget(&request).then_some(Change::Cleared(request))
+        self.remove(&request).then_some(Change::Cleared(request))
     }
 
-    /// True if anything was known.
-    fn forget(&mut self, request: &Fingerprint) -> bool {
+    /// Returns whether the request was a suspect.
+    fn remove(&mut self, request: &Fingerprint) -> bool {
         let Some(suspect) = self.suspects.remove(request) else {
             return false;
         };
-        self.held.remove(request);
-        if suspect.is_listed {
-            self.to_lift.insert(*request);
+        self.quarantined.remove(request);
+        if suspect.is_stored {
+            self.to_release.insert(*request);
         }
         true
     }
 
-    /// Takes in a request that stands in the store.
-    pub fn list(&mut self, held: Quarantined, now: Instant) -> Option<Change> {
-        if self.to_lift.contains(&held.request) {
+    /// Applies a quarantined request that was read from the store.
+    pub fn apply_stored(&mut self, stored: Quarantined, now: Instant) -> Option<Change> {
+        if self.to_release.contains(&stored.request) {
             return None;
         }
-        self.make_room(held.request);
-        let suspect = self.suspects.entry(held.request);
+        self.evict_if_full(stored.request);
+        let suspect = self.suspects.entry(stored.request);
         let suspect = suspect.or_insert_with(|| Suspect::new(now));
-        suspect.is_listed = true;
-        suspect.ended = suspect.ended.max(held.ended);
-        suspect.reached = suspect.reached.max(held.reached);
-        if suspect.held_until.is_some() {
+        suspect.is_stored = true;
+        suspect.ended = suspect.ended.max(stored.ended);
+        suspect.reached = suspect.reached.max(stored.reached);
+        if suspect.quarantined_until.is_some() {
             return None;
         }
-        suspect.hold(now);
-        self.held.insert(held.request);
-        Some(Change::HeldBack(suspect.held(held.request)))
+        suspect.quarantine(now);
+        self.quarantined.insert(stored.request);
+        Some(Change::Quarantined(suspect.summary(stored.request)))
     }
 
-    /// Takes in that a request was taken out of the store: its time is up, or it is cleared. It may be tried, and one more
-    /// upstream that ends under it is proof enough.
-    pub fn unlist(&mut self, request: Fingerprint) {
-        self.to_lift.remove(&request);
+    /// Applies the removal of a request from the store, after its quarantine expired or it was cleared. The request may be tried
+    /// again, and is quarantined again after one more crash.
+    pub fn apply_removal(&mut self, request: Fingerprint) {
+        self.to_release.remove(&request);
         if let Some(suspect) = self.suspects.get_mut(&request) {
             suspect.release();
-            self.held.remove(&request);
+            self.quarantined.remove(&request);
         }
     }
 
-    /// Takes in all requests that stand in the store. What stood there before and does not now was taken out.
-    pub fn list_all(&mut self, listed: &[Quarantined], now: Instant) -> Vec<Change> {
-        let names: HashSet<Fingerprint> = listed.iter().map(|it| it.request).collect();
-        self.to_lift.retain(|request| names.contains(request));
+    /// Applies all requests that the store has. Those that were stored before and are missing now are released.
+    pub fn replace_stored(&mut self, stored: &[Quarantined], now: Instant) -> Vec<Change> {
+        let requests: HashSet<Fingerprint> = stored.iter().map(|it| it.request).collect();
+        self.to_release.retain(|request| requests.contains(request));
         for (request, suspect) in &mut self.suspects {
-            if suspect.is_listed && !names.contains(request) {
+            if suspect.is_stored && !requests.contains(request) {
                 suspect.release();
-                self.held.remove(request);
+                self.quarantined.remove(request);
             }
         }
-        let changes = listed.iter().filter_map(|it| self.list(*it, now));
+        let changes = stored.iter().filter_map(|it| self.apply_stored(*it, now));
         changes.collect()
     }
 
-    /// What the store lacks, or has too much. Requests whose time is up are released, and forgotten after the longest time.
-    pub fn writes(&mut self, now: Instant) -> Vec<Write> {
+    /// Returns the pending writes to the store. Releases requests whose quarantine has expired, and drops suspects without a
+    /// recent crash.
+    pub fn pending_writes(&mut self, now: Instant) -> Vec<Write> {
         for (request, suspect) in &mut self.suspects {
-            if suspect.held_until.is_some_and(|until| now >= until) {
-                if suspect.is_listed {
-                    self.to_lift.insert(*request);
+            if suspect.quarantined_until.is_some_and(|until| now >= until) {
+                if suspect.is_stored {
+                    self.to_release.insert(*request);
                 }
                 suspect.release();
-                self.held.remove(request);
+                self.quarantined.remove(request);
             }
         }
-        self.suspects
-            .retain(|_, it| it.held_until.is_some() || now < it.blamed_at + LONGEST_HOLD);
-        let held = self.suspects.iter();
-        let unlisted = held.filter(|(_, it)| it.held_until.is_some() && !it.is_listed);
-        let holds = unlisted.map(|(request, it)| Write::Hold(it.held(*request)));
-        let lifts = self.to_lift.iter().map(|request| Write::Lift(*request));
-        holds.chain(lifts).collect()
+        self.suspects.retain(|_, it| {
+            it.quarantined_until.is_some() || now < it.last_crash_at + MAX_QUARANTINE
+        });
+        let suspects = self.suspects.iter();
+        let unstored =
+            suspects.filter(|(_, it)| it.quarantined_until.is_some() && !it.is_stored);
+        let additions = unstored.map(|(request, it)| Write::Quarantine(it.summary(*request)));
+        let releases = self.to_release.iter().map(|request| Write::Release(*request));
+        additions.chain(releases).collect()
     }
 
-    /// The store has acknowledged a write.
-    pub fn written(&mut self, write: Write) {
+    /// Records that the store has acknowledged a write.
+    pub fn confirm_write(&mut self, write: Write) {
         match write {
-            Write::Lift(request) => {
-                self.to_lift.remove(&request);
+            Write::Release(request) => {
+                self.to_release.remove(&request);
             }
-            Write::Hold(held) => match self.suspects.get_mut(&held.request) {
-                Some(suspect) if suspect.held_until.is_some() => suspect.is_listed = true,
-                // It was cleared while it was written.
+            Write::Quarantine(stored) => match self.suspects.get_mut(&stored.request) {
+                Some(suspect) if suspect.quarantined_until.is_some() => suspect.is_stored = true,
+                // The request was cleared during the write.
                 _ => {
-                    self.to_lift.insert(held.request);
+                    self.to_release.insert(stored.request);
                 }
             },
         }
     }
 
-    /// Forgets whoever was blamed longest ago, if there is no room: first those that are not held back.
-    fn make_room(&mut self, request: Fingerprint) {
+    /// Evicts the suspects with the oldest crashes if the table is full and `request` is not in it. Quarantined suspects go last.
+    fn evict_if_full(&mut self, request: Fingerprint) {
         if self.suspects.len() < CAPACITY || self.suspects.contains_key(&request) {
             return;
         }
         let suspects = self.suspects.iter();
-        let by_age =
-            suspects.map(|(request, it)| (it.held_until.is_some(), it.blamed_at, *request));
+        let by_age = suspects
+            .map(|(request, it)| (it.quarantined_until.is_some(), it.last_crash_at, *request));
         let mut by_age: Vec<_> = by_age.collect();
-        by_age.select_nth_unstable(FORGOTTEN_AT_ONCE);
-        for (_, _, request) in &by_age[..FORGOTTEN_AT_ONCE] {
-            self.forget(request);
+        by_age.select_nth_unstable(EVICTION_BATCH);
+        for (_, _, request) in &by_age[..EVICTION_BATCH] {
+            self.remove(request);
         }
     }
 }
@@ -288,14 +288,14 @@
         Self {
             ended: 0,
             reached: 0,
-            names: SmallVec::new(),
-            blamed_at: now,
-            held_until: None,
-            is_listed: false,
+            upstreams: SmallVec::new(),
+            last_crash_at: now,
+            quarantined_until: None,
+            is_stored: false,
         }
     }
 
-    fn held(&self, request: Fingerprint) -> Quarantined {
+    fn summary(&self, request: Fingerprint) -> Quarantined {
         Quarantined {
             request,
             ended: self.ended,
@@ -303,14 +303,16 @@
         }
     }
 
-    fn hold(&mut self, now: Instant) {
-        let doublings = self.ended.saturating_sub(PROOF).min(u32::BITS - 1);
-        let time = HOLD.saturating_mul(1 << doublings).min(LONGEST_HOLD);
-        self.held_until = Some(now + time);
+    fn quarantine(&mut self, now: Instant) {
+        let doublings = self.ended.saturating_sub(CRASH_THRESHOLD).min(u32::BITS - 1);
+        let time = FIRST_QUARANTINE
+            .saturating_mul(1 << doublings)
+            .min(MAX_QUARANTINE);
+        self.quarantined_until = Some(now + time);
     }
 
     fn release(&mut self) {
-        self.held_until = None;
-        self.is_listed = false;
+        self.quarantined_until = None;
+        self.is_stored = false;
     }
 }
--- a/crates/tinbank-quarantine/tests/fingerprint.rs
+++ b/crates/tinbank-quarantine/tests/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Which requests are the same one.
+//! Identity of requests by their content.
 
 use tinbank_quarantine::{Content, Fingerprint, fingerprint::short};
 use yare::parameterized;
@@ -16,16 +16,16 @@
 }
 
 #[test]
-fn the_same_content_has_the_same_fingerprint_at_every_host() {
+fn a_fingerprint_depends_on_the_content_alone_and_never_changes() {
     assert_eq!(fingerprint(), fingerprint());
-    // Hosts of two versions have to agree as well.
+    // Hosts of different versions have to agree.
     assert_eq!(short(fingerprint()), "65cd65f039272793");
 }
 
 #[parameterized(
     another_customer = { Content { customer: Some("south"), ..CONTENT } },
-    nobody = { Content { customer: None, ..CONTENT } },
-    a_customer_without_a_name = { Content { customer: Some(""), ..CONTENT } },
+    no_customer = { Content { customer: None, ..CONTENT } },
+    an_empty_customer_name = { Content { customer: Some(""), ..CONTENT } },
     another_method = { Content { method: "GET", ..CONTENT } },
     another_host = { Content { host: b"two.example", ..CONTENT } },
     another_path = { Content { target: "/notes/y", ..CONTENT } },
@@ -38,15 +38,15 @@
 }
 
 #[test]
-fn nobody_differs_from_a_customer_without_a_name() {
-    let nobody = Content {
+fn no_customer_differs_from_an_empty_customer_name() {
+    let no_customer = Content {
         customer: None,
         ..CONTENT
     };
-    let nameless = Content {
+    let empty_name = Content {
         customer: Some(""),
         ..CONTENT
     };
 
-    assert_ne!(nobody.fingerprint(), nameless.fingerprint());
+    assert_ne!(no_customer.fingerprint(), empty_name.fingerprint());
 }
--- a/crates/tinbank-quarantine/tests/fleet/main.rs
+++ b/crates/tinbank-quarantine/tests/fleet/main.rs
@@ -1,116 +1,116 @@
-//! What callers and upstreams get while one request ends each upstream that runs it.
+//! Effect on callers and upstreams of one request that crashes each upstream that runs it.
 //!
-//! The ways that were weighed, for `docs/design/quarantine.md`:
+//! Comparison of strategies, for `docs/design/quarantine.md`:
 //! `cargo test --release -p tinbank-quarantine --test fleet -- --ignored --nocapture`.
 
 mod play;
 
-use play::{Outcome, Play, Way};
+use play::{Outcome, Scenario, Strategy};
 use yare::parameterized;
 
-/// Seeds of a row of the table.
+/// Number of seeds for each row of the table.
 const SEEDS: u64 = 10;
-/// Retries that users allow, later than the contact time after the third end.
-const MOST_RETRIES: usize = 3;
+/// Retries allowed later than the convergence time after the third crash.
+const MAX_RETRIES: usize = 3;
 
-const CALM: Play = Play {
-    way: Way::ToldAndStored,
+const BASE: Scenario = Scenario {
+    strategy: Strategy::BroadcastAndStored,
     seed: 1,
     hosts: 12,
-    every: 500,
+    interval: 500,
     copies: 1,
-    lost_percent: 1,
-    is_cut: false,
-    all_lost: false,
-    has_storm: false,
+    loss_percent: 1,
+    is_partitioned: false,
+    restarts_all: false,
+    has_crash_storm: false,
 };
 
 #[parameterized(
-    three_hosts = { Play { hosts: 3, ..CALM } },
-    twelve_hosts = { CALM },
-    many_hosts = { Play { hosts: 300, ..CALM } },
-    each_tenth_of_a_second = { Play { every: 100, ..CALM } },
-    copies_at_once = { Play { copies: 4, ..CALM } },
-    lossy = { Play { lost_percent: 30, ..CALM } },
-    cut = { Play { is_cut: true, ..CALM } },
-    all_lost = { Play { all_lost: true, ..CALM } },
-    storm = { Play { has_storm: true, ..CALM } },
-    all_at_once = { Play { copies: 2, lost_percent: 30, is_cut: true, all_lost: true, ..CALM } },
+    three_hosts = { Scenario { hosts: 3, ..BASE } },
+    twelve_hosts = { BASE },
+    many_hosts = { Scenario { hosts: 300, ..BASE } },
+    short_interval = { Scenario { interval: 100, ..BASE } },
+    copies_at_once = { Scenario { copies: 4, ..BASE } },
+    packet_loss = { Scenario { loss_percent: 30, ..BASE } },
+    partition = { Scenario { is_partitioned: true, ..BASE } },
+    restarts_all = { Scenario { restarts_all: true, ..BASE } },
+    crash_storm = { Scenario { has_crash_storm: true, ..BASE } },
+    all_faults = { Scenario { copies: 2, loss_percent: 30, is_partitioned: true, restarts_all: true, ..BASE } },
 )]
-fn it_is_sent_no_further_and_nobody_else_is_held_back(play: Play) {
+fn it_is_sent_no_further_and_nobody_else_is_held_back(scenario: Scenario) {
     for seed in 1..=2 {
-        let outcome = Play { seed, ..play }.run();
+        let outcome = Scenario { seed, ..scenario }.run();
 
-        assert!(outcome.retries <= MOST_RETRIES, "seed {seed}: {outcome:?}");
-        assert_eq!(outcome.held_wrongly, 0, "seed {seed}: {outcome:?}");
+        assert!(outcome.retries <= MAX_RETRIES, "seed {seed}: {outcome:?}");
+        assert_eq!(outcome.false_positives, 0, "seed {seed}: {outcome:?}");
     }
 }
 
 #[test]
 #[ignore = "prints the table of the design note"]
 fn ways() {
-    let plays = [
-        ("12 hosts", CALM),
-        ("3 hosts", Play { hosts: 3, ..CALM }),
-        ("300 hosts", Play { hosts: 300, ..CALM }),
-        ("each 0.1 s", Play { every: 100, ..CALM }),
-        ("4 copies at once", Play { copies: 4, ..CALM }),
+    let scenarios = [
+        ("12 hosts", BASE),
+        ("3 hosts", Scenario { hosts: 3, ..BASE }),
+        ("300 hosts", Scenario { hosts: 300, ..BASE }),
+        ("each 0.1 s", Scenario { interval: 100, ..BASE }),
+        ("4 copies at once", Scenario { copies: 4, ..BASE }),
         (
             "3 of 10 datagrams lost",
-            Play {
-                lost_percent: 30,
-                ..CALM
+            Scenario {
+                loss_percent: 30,
+                ..BASE
             },
         ),
         (
-            "a third cut off, 15 s",
-            Play {
-                is_cut: true,
-                ..CALM
+            "a third partitioned, 15 s",
+            Scenario {
+                is_partitioned: true,
+                ..BASE
             },
         ),
         (
-            "a third of the upstreams end by themselves each 2 s",
-            Play {
-                has_storm: true,
-                ..CALM
+            "a third of the upstreams crash for other reasons each 2 s",
+            Scenario {
+                has_crash_storm: true,
+                ..BASE
             },
         ),
         (
             "the same, 4 copies at once",
-            Play {
-                has_storm: true,
+            Scenario {
+                has_crash_storm: true,
                 copies: 4,
-                ..CALM
+                ..BASE
             },
         ),
         (
-            "all lost, three times",
-            Play {
-                all_lost: true,
-                ..CALM
+            "all hosts restart, three times",
+            Scenario {
+                restarts_all: true,
+                ..BASE
             },
         ),
     ];
-    let ways = [
-        Way::Nothing,
-        Way::Alone,
-        Way::Told,
-        Way::Stored,
-        Way::ToldAndStored,
+    let strategies = [
+        Strategy::Stateless,
+        Strategy::Local,
+        Strategy::Broadcast,
+        Strategy::Stored,
+        Strategy::BroadcastAndStored,
     ];
-    println!("| fault | way | upstreams ended | retries | others broken | others held back |");
-    for (name, play) in plays {
-        for way in ways {
-            let outcomes = (1..=SEEDS).map(|seed| Play { way, seed, ..play }.run());
+    println!("| fault | strategy | upstreams crashed | retries | others interrupted | others quarantined |");
+    for (name, scenario) in scenarios {
+        for strategy in strategies {
+            let outcomes = (1..=SEEDS).map(|seed| Scenario { strategy, seed, ..scenario }.run());
             let all: Vec<Outcome> = outcomes.collect();
             let sum = |of: fn(&Outcome) -> usize| all.iter().map(of).sum::<usize>();
-            let most = all.iter().map(|it| it.retries).max().unwrap_or_default();
+            let max = all.iter().map(|it| it.retries).max().unwrap_or_default();
             println!(
-                "| {name} | {way:?} | {:.1} | {most} | {:.1} | {} |",
-                sum(|it| it.ended) as f64 / SEEDS as f64,
-                sum(|it| it.broken) as f64 / SEEDS as f64,
-                sum(|it| it.held_wrongly),
+                "| {name} | {strategy:?} | {:.1} | {max} | {:.1} | {} |",
+                sum(|it| it.crashes) as f64 / SEEDS as f64,
+                sum(|it| it.interrupted) as f64 / SEEDS as f64,
+                sum(|it| it.false_positives),
             );
         }
     }
--- a/crates/tinbank-quarantine/tests/fleet/play.rs
+++ b/crates/tinbank-quarantine/tests/fleet/play.rs
@@ -1,4 +1,4 @@
-//! Hosts, upstreams, callers, and a request that ends each upstream that runs it, in virtual time.
+//! Simulation of hosts, upstreams, callers, and a request that crashes each upstream that runs it, in virtual time.
 
 use std::{
     collections::BTreeMap,
@@ -7,90 +7,91 @@
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use tinbank_base::id;
-use tinbank_quarantine::{InFlight, Fingerprint, Quarantined, Update, Report, Table, table::Write};
+use tinbank_quarantine::{InFlight, Fingerprint, Quarantined, Update, CrashReport, Table, table::Write};
 
-const DEADLY: Fingerprint = 1;
-/// Milliseconds of a step, until the first event and from one to the next, from the begin of a deadly run to the end of its upstream, and until that is back.
+const POISON: Fingerprint = 1;
+/// Times in milliseconds: a simulation step, the first event of an answer, the interval of its events, the run of a poison request
+/// until its upstream crashes, and the restart of an upstream.
 const STEP: u64 = 5;
-const FIRST_EVENT: u64 = 45;
-const EVENT: u64 = 25;
-const DEADLY_RUN: u64 = 50;
-const AWAY: u64 = 3_000;
-/// Within this time every host has to know, and after a loss or a cut a host may not know yet.
-pub const CONTACT: u64 = 3_000;
+const FIRST_EVENT_DELAY: u64 = 45;
+const EVENT_INTERVAL: u64 = 25;
+const TIME_TO_CRASH: u64 = 50;
+const RESTART_TIME: u64 = 3_000;
+/// Time after a fault within which every host has to know all crashes.
+pub const CONVERGENCE_TIME: u64 = 3_000;
 /// Longest time until a host has read a record of the store.
-const READ: u64 = 460;
+const STORE_READ_DELAY: u64 = 460;
 const SLOTS: usize = 8;
-const LENGTH: u64 = 60_000;
-/// When all hosts are lost: when two upstreams have ended, while the deadly request comes, and while it does not.
-const ALL_LOST: [u64; 3] = [700, 12_000, 32_000];
-/// Other requests a second for each upstream, with which six of ten slots are in use.
-const OTHERS: f64 = 7.0;
-/// How many times one of the others comes whose answer breaks.
-const TRIES: u8 = 4;
-/// Events of an answer, and of an item of a job, which comes again until it is whole.
+const DURATION: u64 = 60_000;
+/// When all hosts restart: after two crashes, while the poison request is being sent, and while it is not.
+const RESTARTS_AT: [u64; 3] = [700, 12_000, 32_000];
+/// Rate of other requests for each upstream, which keeps six of ten slots in use.
+const OTHER_REQUESTS_PER_SECOND: f64 = 7.0;
+/// Attempts of another request whose answer was interrupted.
+const MAX_ATTEMPTS: u8 = 4;
+/// Number of events of an answer, and of the answer to an item of a job, which is retried until it completes.
 const EVENTS: u64 = 28;
 const ITEM_EVENTS: u64 = 200;
 
-/// How hosts know of what happened at others.
+/// How hosts share what they observed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
-    /// Nothing is remembered beyond a try.
-    Nothing,
-    /// Each host remembers what it saw.
-    Alone,
-    /// Hosts tell each other by datagrams.
-    Told,
-    /// Each report is a record of the store, which all read.
+pub enum Strategy {
+    /// Nothing is kept beyond an attempt.
+    Stateless,
+    /// Each host keeps its own observations.
+    Local,
+    /// Hosts send their observations to each other as datagrams.
+    Broadcast,
+    /// Each observation is a record of the store, which all hosts read.
     Stored,
-    /// Hosts tell each other, and what is held back stands in the store.
-    ToldAndStored,
+    /// Hosts send their observations to each other, and the store has the quarantined requests.
+    BroadcastAndStored,
 }
 
-/// A fleet with a caller that comes again.
+/// A fleet with a caller that retries a poison request.
 #[derive(Clone, Copy, Debug)]
-pub struct Play {
-    pub way: Way,
+pub struct Scenario {
+    pub strategy: Strategy,
     pub seed: u64,
     pub hosts: usize,
-    /// Milliseconds between two tries of the deadly request, and copies that come at the same moment.
-    pub every: u64,
+    /// Milliseconds between two attempts of the poison request, and how many copies are sent at a time.
+    pub interval: u64,
     pub copies: usize,
-    /// Datagrams that are lost, in percent.
-    pub lost_percent: u32,
-    /// A third of the hosts hears nobody, and not the store either, from 0.4 to 20 s.
-    pub is_cut: bool,
-    /// All hosts are lost, three times.
-    pub all_lost: bool,
-    /// A third of the upstreams end by themselves each two seconds.
-    pub has_storm: bool,
+    /// Share of datagrams that are lost, in percent.
+    pub loss_percent: u32,
+    /// From 0.4 to 20 s, a third of the hosts receives nothing, neither from hosts nor from the store.
+    pub is_partitioned: bool,
+    /// All hosts restart three times.
+    pub restarts_all: bool,
+    /// Each two seconds, a third of the upstreams crashes for other reasons.
+    pub has_crash_storm: bool,
 }
 
-/// What came of it.
+/// Result of a simulation.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// Upstreams that ended.
-    pub ended: usize,
-    /// Tries sent later than the contact time after the third end, by hosts without a fault.
+    /// Crashes caused by the poison request.
+    pub crashes: usize,
+    /// Attempts of the poison request sent later than the convergence time after the third crash, by hosts without a recent fault.
     pub retries: usize,
-    /// Answers of others that broke, and others that were held back.
-    pub broken: usize,
-    pub held_wrongly: usize,
+    /// Interrupted answers to other requests, and attempts of other requests that were quarantined.
+    pub interrupted: usize,
+    pub false_positives: usize,
 }
 
 struct Host {
     table: Table,
     inbox: Vec<(u64, Update)>,
-    /// Reads of what is held back, by the time at which they are done.
+    /// Results of reading the quarantined requests from the store, with the time at which they arrive.
     reads: Vec<(u64, Vec<Quarantined>)>,
 }
 
-/// A request on its way. What it has of its answer it keeps when it comes again.
+/// A request. When it is retried, it keeps the events that it has.
 #[derive(Clone, Copy)]
 struct Request {
     name: Fingerprint,
-    tries: u8,
-    /// Events that it has, and that it wants.
+    attempts: u8,
+    /// Events received, and events of the complete answer.
     events: u64,
     all_events: u64,
 }
@@ -102,58 +103,58 @@
 }
 
 impl Run {
-    /// Events that the caller has now.
+    /// Returns the number of events that the caller has received.
     fn reached(&self, now: u64) -> u64 {
-        let running = now.saturating_sub(self.began + FIRST_EVENT);
-        self.request.events + running / EVENT
+        let running = now.saturating_sub(self.began + FIRST_EVENT_DELAY);
+        self.request.events + running / EVENT_INTERVAL
     }
 }
 
 #[derive(Default)]
 struct Upstream {
     name: String,
-    back_at: u64,
+    up_at: u64,
     runs: Vec<Run>,
 }
 
-struct World {
-    play: Play,
-    random: StdRng,
+struct Simulation {
+    scenario: Scenario,
+    rng: StdRng,
     start: Instant,
     now: u64,
     hosts: Vec<Host>,
     upstreams: Vec<Upstream>,
-    starts: usize,
+    started: usize,
     stored: BTreeMap<Fingerprint, Quarantined>,
     reports: Vec<Update>,
-    tries: Vec<(u64, Request)>,
-    third_at: Option<u64>,
+    attempts: Vec<(u64, Request)>,
+    threshold_at: Option<u64>,
     outcome: Outcome,
 }
 
-impl Play {
+impl Scenario {
     pub fn run(self) -> Outcome {
         let hosts = (0..self.hosts).map(|_| Host::new()).collect();
         let upstreams = self.hosts.max(9) * 3 / 2;
-        let mut world = World {
-            play: self,
-            random: StdRng::seed_from_u64(self.seed),
+        let mut simulation = Simulation {
+            scenario: self,
+            rng: StdRng::seed_from_u64(self.seed),
             start: Instant::now(),
             now: 0,
             hosts,
             upstreams: (0..upstreams).map(|_| Upstream::default()).collect(),
-            starts: 0,
+            started: 0,
             stored: BTreeMap::new(),
             reports: Vec::new(),
-            tries: Vec::new(),
-            third_at: None,
+            attempts: Vec::new(),
+            threshold_at: None,
             outcome: Outcome::default(),
         };
-        while world.now < LENGTH {
-            world.step();
-            world.now += STEP;
+        while simulation.now < DURATION {
+            simulation.step();
+            simulation.now += STEP;
         }
-        world.outcome
+        simulation.outcome
     }
 }
 
@@ -167,96 +168,96 @@
     }
 }
 
-impl World {
+impl Simulation {
     fn at(&self) -> Instant {
         self.start + Duration::from_millis(self.now)
     }
 
-    fn is_cut(&self, host: usize) -> bool {
-        let in_time = (400..20_000).contains(&self.now);
-        self.play.is_cut && in_time && host.is_multiple_of(3)
+    fn is_partitioned(&self, host: usize) -> bool {
+        let is_during_partition = (400..20_000).contains(&self.now);
+        self.scenario.is_partitioned && is_during_partition && host.is_multiple_of(3)
     }
 
-    /// True if a host has had no fault for the contact time.
-    fn is_in_touch(&self, host: usize) -> bool {
-        let after = |at: &u64| (*at..at + CONTACT).contains(&self.now);
-        let was_cut = (400..20_000 + CONTACT).contains(&self.now) && host.is_multiple_of(3);
-        !(self.play.is_cut && was_cut || self.play.all_lost && ALL_LOST.iter().any(after))
+    /// Returns whether a host has had no fault for the convergence time.
+    fn has_converged(&self, host: usize) -> bool {
+        let after = |at: &u64| (*at..at + CONVERGENCE_TIME).contains(&self.now);
+        let was_partitioned = (400..20_000 + CONVERGENCE_TIME).contains(&self.now) && host.is_multiple_of(3);
+        !(self.scenario.is_partitioned && was_partitioned || self.scenario.restarts_all && RESTARTS_AT.iter().any(after))
     }
 
     fn step(&mut self) {
-        if self.play.all_lost && ALL_LOST.contains(&self.now) {
-            self.lose_all();
+        if self.scenario.restarts_all && RESTARTS_AT.contains(&self.now) {
+            self.restart_all();
         }
-        self.hear();
-        self.end_upstreams();
+        self.receive();
+        self.crash_upstreams();
         self.finish_runs();
         self.write();
-        self.arrive();
+        self.submit_requests();
     }
 
-    fn lose_all(&mut self) {
+    fn restart_all(&mut self) {
         for host in 0..self.hosts.len() {
             self.hosts[host] = Host::new();
             let read_at = self.now + 100;
-            match self.play.way {
-                Way::ToldAndStored => {
-                    let held = self.stored.values().copied().collect();
-                    self.hosts[host].reads.push((read_at, held));
+            match self.scenario.strategy {
+                Strategy::BroadcastAndStored => {
+                    let stored = self.stored.values().copied().collect();
+                    self.hosts[host].reads.push((read_at, stored));
                 }
-                Way::Stored => {
+                Strategy::Stored => {
                     let reports = self.reports.iter().map(|it| (read_at, it.clone()));
                     self.hosts[host].inbox = reports.collect();
                 }
-                Way::Nothing | Way::Alone | Way::Told => {}
+                Strategy::Stateless | Strategy::Local | Strategy::Broadcast => {}
             }
         }
     }
 
-    fn hear(&mut self) {
+    fn receive(&mut self) {
         let (now, at) = (self.now, self.at());
         for index in 0..self.hosts.len() {
-            if self.is_cut(index) {
+            if self.is_partitioned(index) {
                 continue;
             }
             let host = &mut self.hosts[index];
             let (due, later) = host.inbox.drain(..).partition(|(time, _)| *time <= now);
             host.inbox = later;
-            for (_, news) in due {
-                match news {
-                    Update::Ended(report) => drop(host.table.blame(&report, at)),
-                    Update::Survived(request) => drop(host.table.clear(request)),
+            for (_, update) in due {
+                match update {
+                    Update::Crashed(report) => drop(host.table.record_crash(&report, at)),
+                    Update::Cleared(request) => drop(host.table.clear(request)),
                 }
             }
             let (due, later) = host.reads.drain(..).partition(|(time, _)| *time <= now);
             host.reads = later;
             due.into_iter()
-                .for_each(|(_, held): (u64, Vec<Quarantined>)| drop(host.table.list_all(&held, at)));
+                .for_each(|(_, stored): (u64, Vec<Quarantined>)| drop(host.table.replace_stored(&stored, at)));
         }
     }
 
-    fn end_upstreams(&mut self) {
+    fn crash_upstreams(&mut self) {
         for index in 0..self.upstreams.len() {
             let upstream = &mut self.upstreams[index];
-            let is_deadly =
-                |run: &Run| run.request.name == DEADLY && self.now >= run.began + DEADLY_RUN;
-            let by_request = upstream.runs.iter().any(is_deadly);
-            let by_itself = self.play.has_storm
+            let is_crash =
+                |run: &Run| run.request.name == POISON && self.now >= run.began + TIME_TO_CRASH;
+            let by_request = upstream.runs.iter().any(is_crash);
+            let by_storm = self.scenario.has_crash_storm
                 && self.now.is_multiple_of(2_000)
                 && index as u64 % 3 == self.now / 2_000 % 3;
-            if !by_request && !by_itself {
+            if !by_request && !by_storm {
                 continue;
             }
-            upstream.back_at = self.now + AWAY;
+            upstream.up_at = self.now + RESTART_TIME;
             let name = id::Instance::from(upstream.name.as_str());
             let runs = std::mem::take(&mut upstream.runs);
-            self.outcome.ended += usize::from(by_request);
-            if by_request && self.outcome.ended == 3 {
-                self.third_at = Some(self.now);
+            self.outcome.crashes += usize::from(by_request);
+            if by_request && self.outcome.crashes == 3 {
+                self.threshold_at = Some(self.now);
             }
-            let mut by_host: BTreeMap<usize, Report> = BTreeMap::new();
+            let mut by_host: BTreeMap<usize, CrashReport> = BTreeMap::new();
             for run in runs {
-                let report = by_host.entry(run.host).or_insert_with(|| Report {
+                let report = by_host.entry(run.host).or_insert_with(|| CrashReport {
                     upstream: name.clone(),
                     requests: Default::default(),
                 });
@@ -264,17 +265,17 @@
                     request: run.request.name,
                     reached: run.reached(self.now),
                 });
-                if run.request.name != DEADLY {
-                    self.outcome.broken += 1;
-                    self.come_again(&run);
+                if run.request.name != POISON {
+                    self.outcome.interrupted += 1;
+                    self.retry(&run);
                 }
             }
             let at = self.at();
             for (host, report) in by_host {
-                if self.play.way != Way::Nothing {
-                    self.hosts[host].table.blame(&report, at);
+                if self.scenario.strategy != Strategy::Stateless {
+                    self.hosts[host].table.record_crash(&report, at);
                 }
-                self.tell(host, Update::Ended(report));
+                self.broadcast(host, Update::Crashed(report));
             }
         }
     }
@@ -284,152 +285,152 @@
             let now = self.now;
             let runs = self.upstreams[index].runs.drain(..);
             let (done, left) = runs.partition(|run| {
-                run.request.name != DEADLY && run.reached(now) >= run.request.all_events
+                run.request.name != POISON && run.reached(now) >= run.request.all_events
             });
             self.upstreams[index].runs = left;
             for run in done {
                 if self.hosts[run.host].table.clear(run.request.name).is_some() {
-                    self.tell(run.host, Update::Survived(run.request.name));
+                    self.broadcast(run.host, Update::Cleared(run.request.name));
                 }
             }
         }
     }
 
-    /// A caller comes again a few times, and goes on where it stands every second time; an item always does.
-    fn come_again(&mut self, run: &Run) {
+    /// Retries an interrupted request. A caller does so a few times, and resumes the answer half of the time; an item always does.
+    fn retry(&mut self, run: &Run) {
         let is_item = run.request.all_events == ITEM_EVENTS;
-        if run.request.tries == 1 && !is_item {
+        if run.request.attempts == 1 && !is_item {
             return;
         }
-        let goes_on = is_item || self.random.random_bool(0.5);
+        let resumes = is_item || self.rng.random_bool(0.5);
         let request = Request {
-            tries: run.request.tries - u8::from(!is_item),
-            events: if goes_on { run.reached(self.now) } else { 0 },
+            attempts: run.request.attempts - u8::from(!is_item),
+            events: if resumes { run.reached(self.now) } else { 0 },
             ..run.request
         };
-        self.tries.push((self.now + 100, request));
+        self.attempts.push((self.now + 100, request));
     }
 
-    /// News reach the others by the way that is played.
-    fn tell(&mut self, from: usize, news: Update) {
-        if self.play.way == Way::Stored && !self.is_cut(from) {
-            self.reports.push(news.clone());
+    /// Distributes an observation by the simulated strategy.
+    fn broadcast(&mut self, from: usize, update: Update) {
+        if self.scenario.strategy == Strategy::Stored && !self.is_partitioned(from) {
+            self.reports.push(update.clone());
         }
         for host in 0..self.hosts.len() {
-            let lost = self.random.random_range(0..100) < self.play.lost_percent;
-            let again_lost = self.random.random_range(0..100) < self.play.lost_percent;
-            let delay = match (self.play.way, lost, again_lost) {
-                (Way::Nothing | Way::Alone, ..) | (Way::Told | Way::ToldAndStored, true, true) => {
+            let lost = self.rng.random_range(0..100) < self.scenario.loss_percent;
+            let resend_lost = self.rng.random_range(0..100) < self.scenario.loss_percent;
+            let delay = match (self.scenario.strategy, lost, resend_lost) {
+                (Strategy::Stateless | Strategy::Local, ..) | (Strategy::Broadcast | Strategy::BroadcastAndStored, true, true) => {
                     continue;
                 }
-                (Way::Stored, ..) => self.random.random_range(10..READ),
+                (Strategy::Stored, ..) => self.rng.random_range(10..STORE_READ_DELAY),
                 (_, true, false) => 180,
-                (_, false, _) => self.random.random_range(31..50),
+                (_, false, _) => self.rng.random_range(31..50),
             };
-            if host != from && !self.is_cut(from) && !self.is_cut(host) {
+            if host != from && !self.is_partitioned(from) && !self.is_partitioned(host) {
                 self.hosts[host]
                     .inbox
-                    .push((self.now + delay, news.clone()));
+                    .push((self.now + delay, update.clone()));
             }
         }
     }
 
-    /// The first hosts of three failure domains write what is held back.
+    /// Writes the quarantined requests to the store, at the first hosts of three failure domains.
     fn write(&mut self) {
-        if self.play.way != Way::ToldAndStored {
+        if self.scenario.strategy != Strategy::BroadcastAndStored {
             return;
         }
         let at = self.at();
         for host in 0..3 {
-            if self.is_cut(host) {
+            if self.is_partitioned(host) {
                 continue;
             }
-            for write in self.hosts[host].table.writes(at) {
-                self.hosts[host].table.written(write);
+            for write in self.hosts[host].table.pending_writes(at) {
+                self.hosts[host].table.confirm_write(write);
                 match write {
-                    Write::Hold(held) => self.stored.insert(held.request, held),
-                    Write::Lift(request) => self.stored.remove(&request),
+                    Write::Quarantine(stored) => self.stored.insert(stored.request, stored),
+                    Write::Release(request) => self.stored.remove(&request),
                 };
-                let read_at = self.now + self.random.random_range(10..READ);
-                let held: Vec<Quarantined> = self.stored.values().copied().collect();
+                let read_at = self.now + self.rng.random_range(10..STORE_READ_DELAY);
+                let stored: Vec<Quarantined> = self.stored.values().copied().collect();
                 for host in &mut self.hosts {
-                    host.reads.push((read_at, held.clone()));
+                    host.reads.push((read_at, stored.clone()));
                 }
             }
         }
     }
 
-    /// The deadly request comes again and again, but for 15 s of calm.
-    fn arrive(&mut self) {
-        let others = self.upstreams.len() as f64 * OTHERS * STEP as f64 / 1_000.0;
-        let others = others as usize + usize::from(self.random.random_bool(others.fract()));
+    /// Submits new requests. The poison request is sent repeatedly, with a pause of 15 s.
+    fn submit_requests(&mut self) {
+        let others = self.upstreams.len() as f64 * OTHER_REQUESTS_PER_SECOND * STEP as f64 / 1_000.0;
+        let others = others as usize + usize::from(self.rng.random_bool(others.fract()));
         for _ in 0..others {
-            let is_item = self.random.random_bool(0.05);
+            let is_item = self.rng.random_bool(0.05);
             let request = Request {
-                name: self.random.random_range(1_000..u128::MAX),
-                tries: TRIES,
+                name: self.rng.random_range(1_000..u128::MAX),
+                attempts: MAX_ATTEMPTS,
                 events: 0,
                 all_events: if is_item { ITEM_EVENTS } else { EVENTS },
             };
-            self.tries.push((self.now, request));
+            self.attempts.push((self.now, request));
         }
-        let is_calm = (20_000..35_000).contains(&self.now);
-        if self.now.is_multiple_of(self.play.every) && !is_calm {
-            let deadly = Request {
-                name: DEADLY,
-                tries: 1,
+        let is_pause = (20_000..35_000).contains(&self.now);
+        if self.now.is_multiple_of(self.scenario.interval) && !is_pause {
+            let poison = Request {
+                name: POISON,
+                attempts: 1,
                 events: 0,
                 all_events: EVENTS,
             };
-            let copies = std::iter::repeat_n((self.now, deadly), self.play.copies);
-            self.tries.extend(copies);
+            let copies = std::iter::repeat_n((self.now, poison), self.scenario.copies);
+            self.attempts.extend(copies);
         }
         let (due, later) = self
-            .tries
+            .attempts
             .drain(..)
             .partition(|(time, ..)| *time <= self.now);
-        self.tries = later;
+        self.attempts = later;
         for (_, request) in due {
             self.send(request);
         }
     }
 
-    /// An item waits for a slot, a caller leaves.
-    fn wait(&mut self, request: Request) {
+    /// Requeues an item until there is a slot. Callers give up instead.
+    fn requeue_item(&mut self, request: Request) {
         if request.all_events == ITEM_EVENTS {
-            self.tries.push((self.now + 100, request));
+            self.attempts.push((self.now + 100, request));
         }
     }
 
     fn send(&mut self, request: Request) {
-        let host = self.random.random_range(0..self.hosts.len());
+        let host = self.rng.random_range(0..self.hosts.len());
         let at = self.at();
-        if self.play.way != Way::Nothing
+        if self.scenario.strategy != Strategy::Stateless
             && self.hosts[host]
                 .table
-                .held_until(request.name, at)
+                .quarantined_until(request.name, at)
                 .is_some()
         {
-            self.outcome.held_wrongly += usize::from(request.name != DEADLY);
+            self.outcome.false_positives += usize::from(request.name != POISON);
             return;
         }
-        let (now, start) = (self.now, self.random.random_range(0..self.upstreams.len()));
+        let (now, start) = (self.now, self.rng.random_range(0..self.upstreams.len()));
         let count = self.upstreams.len();
         let live = (0..count).map(|step| (start + step) % count);
-        let live = live.filter(|index| self.upstreams[*index].back_at <= now);
-        let least = live.min_by_key(|index| self.upstreams[*index].runs.len());
-        let free = least.filter(|index| self.upstreams[*index].runs.len() < SLOTS);
+        let live = live.filter(|index| self.upstreams[*index].up_at <= now);
+        let least_loaded = live.min_by_key(|index| self.upstreams[*index].runs.len());
+        let free = least_loaded.filter(|index| self.upstreams[*index].runs.len() < SLOTS);
         let Some(index) = free else {
-            return self.wait(request);
+            return self.requeue_item(request);
         };
-        let is_late = self.third_at.is_some_and(|third| now > third + CONTACT);
-        if request.name == DEADLY && is_late && self.is_in_touch(host) {
+        let is_late = self.threshold_at.is_some_and(|threshold| now > threshold + CONVERGENCE_TIME);
+        if request.name == POISON && is_late && self.has_converged(host) {
             self.outcome.retries += 1;
         }
         let upstream = &mut self.upstreams[index];
-        if upstream.name.is_empty() || upstream.back_at > 0 && upstream.runs.is_empty() {
-            self.starts += 1;
-            upstream.name = format!("u{}", self.starts);
+        if upstream.name.is_empty() || upstream.up_at > 0 && upstream.runs.is_empty() {
+            self.started += 1;
+            upstream.name = format!("u{}", self.started);
         }
         upstream.runs.push(Run {
             host,
