--- a/crates/tinbank-feed/src/source.rs
+++ b/crates/tinbank-feed/src/source.rs
@@ -58,7 +58,9 @@
 /// Returns the first delegates that a starting host asks for the list of hosts: that of its own failure domain, then the others in
 /// an order that distributes hosts evenly.
 pub fn bootstrap_candidates(first_delegates: &[FirstDelegate], own: &Peer) -> Candidates {
-    let others = first_delegates.iter().filter(|it| it.address != own.address);
+    let others = first_delegates
+        .iter()
+        .filter(|it| it.address != own.address);
     let mut others: SmallVec<[&FirstDelegate; 8]> = others.collect();
     others.sort_by_cached_key(|it| {
         let is_far = it.failure_domain != own.failure_domain;
--- a/crates/tinbank-feed/tests/history.rs
+++ b/crates/tinbank-feed/tests/history.rs
@@ -9,7 +9,7 @@
 use tinbank_base::id;
 use tinbank_feed::{
     History,
-    history::{Lookup, List},
+    history::{List, Lookup},
     message::{Position, encode},
 };
 use tinbank_relay::upstream::Upstream;
--- a/crates/tinbank-feed/tests/message.rs
+++ b/crates/tinbank-feed/tests/message.rs
@@ -4,7 +4,9 @@
 
 use smallvec::smallvec;
 use tinbank_allocator::directory::Peer;
-use tinbank_feed::message::{Age, UpdateRequest, Error, Delta, Scope, Snapshot, Update, decode, encode};
+use tinbank_feed::message::{
+    Age, Delta, Error, Scope, Snapshot, Update, UpdateRequest, decode, encode,
+};
 use tinbank_quarantine::Quarantined;
 use tinbank_relay::{
     route::{Batch, Config, Kind, Limits, Route, Share},
@@ -111,7 +113,10 @@
     };
 
     assert_eq!(decoded, update());
-    assert_eq!(decode::<UpdateRequest>(&encode(&request).unwrap()).unwrap(), request);
+    assert_eq!(
+        decode::<UpdateRequest>(&encode(&request).unwrap()).unwrap(),
+        request
+    );
 }
 
 #[test]
--- a/crates/tinbank-feed/tests/recovery/play.rs
+++ b/crates/tinbank-feed/tests/recovery/simulation.rs
@@ -292,8 +292,15 @@
             }
             Step::Hosts(page) if page + 1 < hosts => Step::Hosts(page + 1),
             Step::Hosts(_) => return self.on_hosts(index),
-            Step::Config if features.delegates && !features.lists_first && is_delegate => Step::Jobs(jobs),
-            Step::Config if features.scoped_lists && features.delegates && !is_first && !host.has_fallen_back => {
+            Step::Config if features.delegates && !features.lists_first && is_delegate => {
+                Step::Jobs(jobs)
+            }
+            Step::Config
+                if features.scoped_lists
+                    && features.delegates
+                    && !is_first
+                    && !host.has_fallen_back =>
+            {
                 return self.follow(index);
             }
             Step::Config if is_first && features.bootstrap && features.scoped_lists => {
@@ -316,7 +323,8 @@
         match self.store.call(self.now, bytes) {
             Answer::At(at) if at <= until => {
                 let host = &self.hosts[index];
-                let received_at = at + host.transfer(bytes) + host.work(bytes, STORE_DECODE_BYTES_PER_SECOND);
+                let received_at =
+                    at + host.transfer(bytes) + host.work(bytes, STORE_DECODE_BYTES_PER_SECOND);
                 self.schedule(received_at, Event::ReadUpstreams(index));
             }
             Answer::Refused(at) => self.schedule(at, Event::CallUpstreams(index)),
@@ -345,7 +353,8 @@
         if self.hosts[index].knows_hosts {
             return;
         }
-        let candidates = source::bootstrap_candidates(&self.first_delegates, &self.hosts[index].peer);
+        let candidates =
+            source::bootstrap_candidates(&self.first_delegates, &self.hosts[index].peer);
         let attempts = self.hosts[index].bootstrap_attempts;
         // A first delegate reads the list from the store.
         let is_first = self.is_first(index);
@@ -369,8 +378,8 @@
 
     /// Sends bytes to another host and returns when they arrive.
     fn send(&mut self, from: usize, to: usize, bytes: usize) -> Instant {
-        let sent =
-            self.hosts[from].transfer(bytes) + self.hosts[from].work(bytes, ENCODE_BYTES_PER_SECOND);
+        let sent = self.hosts[from].transfer(bytes)
+            + self.hosts[from].work(bytes, ENCODE_BYTES_PER_SECOND);
         let out = self.now.max(self.hosts[from].free_at) + sent;
         self.hosts[from].free_at = out;
         out + self.hosts[to].transfer(bytes) + self.hosts[to].work(bytes, DECODE_BYTES_PER_SECOND)
--- a/crates/tinbank-feed/tests/source.rs
+++ b/crates/tinbank-feed/tests/source.rs
@@ -71,8 +71,16 @@
     };
 
     assert_eq!(fallen_back(59), 59);
-    assert!((45..90).contains(&fallen_back(1_000)), "{}", fallen_back(1_000));
-    assert!((45..90).contains(&fallen_back(2_000)), "{}", fallen_back(2_000));
+    assert!(
+        (45..90).contains(&fallen_back(1_000)),
+        "{}",
+        fallen_back(1_000)
+    );
+    assert!(
+        (45..90).contains(&fallen_back(2_000)),
+        "{}",
+        fallen_back(2_000)
+    );
 }
 
 /// Guards against a load spike at the store when hosts lose their delegates together.
@@ -86,7 +94,15 @@
     };
 
     assert_eq!(fallen_back(2_100), 0);
-    assert!((5..25).contains(&fallen_back(2_500)), "{}", fallen_back(2_500));
-    assert!((20..45).contains(&fallen_back(2_900)), "{}", fallen_back(2_900));
+    assert!(
+        (5..25).contains(&fallen_back(2_500)),
+        "{}",
+        fallen_back(2_500)
+    );
+    assert!(
+        (20..45).contains(&fallen_back(2_900)),
+        "{}",
+        fallen_back(2_900)
+    );
     assert_eq!(fallen_back(3_500), 59);
 }
--- a/crates/tinbank-gateway/src/feed/follower.rs
+++ b/crates/tinbank-gateway/src/feed/follower.rs
@@ -11,7 +11,7 @@
 use http_body_util::Full;
 use tinbank_feed::{
     Backoff, SourceSelector,
-    message::{self, UpdateRequest, Scope, Update},
+    message::{self, Scope, Update, UpdateRequest},
     source::MAX_AGE,
 };
 use tokio::time;
@@ -104,7 +104,11 @@
     };
     let is_own_domain_only = scope != Scope::Whole;
     let longest_wait = max_wait(&scope);
-    let Some(answer) = node.clock.unpaused(fetch_update(node, delegate, scope)).await else {
+    let Some(answer) = node
+        .clock
+        .unpaused(fetch_update(node, delegate, scope))
+        .await
+    else {
         log::info!(delegate:%; "update of a delegate discarded, the process was paused meanwhile");
         return false;
     };
--- a/crates/tinbank-gateway/src/feed/server.rs
+++ b/crates/tinbank-gateway/src/feed/server.rs
@@ -15,7 +15,7 @@
 use tinbank_base::id;
 use tinbank_feed::{
     history::{self, Lookup},
-    message::{self, UpdateRequest, Delta, Scope, Snapshot, Update},
+    message::{self, Delta, Scope, Snapshot, Update, UpdateRequest},
     source::MAX_AGE,
 };
 use tinbank_relay::upstream::Upstream;
@@ -57,7 +57,10 @@
 }
 
 async fn answer(node: Rc<Node>, request: Request<Incoming>) -> Result<Response<Body>, Infallible> {
-    let update_request = match Limited::new(request.into_body(), MAX_REQUEST).collect().await {
+    let update_request = match Limited::new(request.into_body(), MAX_REQUEST)
+        .collect()
+        .await
+    {
         Ok(body) => message::decode::<UpdateRequest>(&body.to_bytes()).map_err(|it| it.to_string()),
         Err(error) => Err(error.to_string()),
     };
@@ -110,8 +113,14 @@
         && (version > request.config
             || has_hosts
             || has_upstream_changes(node, request)
-            || view.lists.of(List::Quarantine).has_changes_since(request.quarantine)
-            || view.lists.evacuations.has_changes_since(request.evacuations))
+            || view
+                .lists
+                .of(List::Quarantine)
+                .has_changes_since(request.quarantine)
+            || view
+                .lists
+                .evacuations
+                .has_changes_since(request.evacuations))
 }
 
 /// Returns whether upstreams in the requested scope changed.
@@ -145,7 +154,8 @@
     let config = view.config().filter(|it| Some(it.version) > request.config);
     let mut age = view.age(now);
     let is_own = |domain| domain == &node.settings.failure_domain;
-    let knows_all = !view.is_own_domain_only() || matches!(&request.scope, Scope::Domain(it) if is_own(it));
+    let knows_all =
+        !view.is_own_domain_only() || matches!(&request.scope, Scope::Domain(it) if is_own(it));
     if !knows_all {
         age.upstreams = None;
     }
@@ -230,7 +240,9 @@
     known: Option<message::Position>,
     entries: impl FnOnce() -> Vec<T>,
 ) -> Option<Snapshot<T>> {
-    let position = watermark.position().filter(|_| watermark.has_changes_since(known))?;
+    let position = watermark
+        .position()
+        .filter(|_| watermark.has_changes_since(known))?;
     let entries = entries();
     Some(Snapshot { position, entries })
 }
--- a/crates/tinbank-gateway/src/quarantine/look.rs
+++ b/crates/tinbank-gateway/src/quarantine/look.rs
@@ -37,7 +37,10 @@
 ) {
     let mut interrupted = node.quarantine.interrupted.borrow_mut();
     let is_new = !interrupted.contains_key(upstream);
-    interrupted.entry(upstream.clone()).or_default().push(in_flight);
+    interrupted
+        .entry(upstream.clone())
+        .or_default()
+        .push(in_flight);
     if is_new {
         task::spawn_local(probe(Rc::clone(node), upstream.clone(), address));
     }
@@ -55,7 +58,8 @@
     let contents: Vec<String> = contents.collect();
     log::warn!(upstream:%, found = found.name(), contents:% = contents.join(","); "upstream closed connections with requests in flight");
     if found == Found::Ended {
-        node.quarantine.report_crash(CrashReport { upstream, requests });
+        node.quarantine
+            .report_crash(CrashReport { upstream, requests });
     }
 }
 
--- a/crates/tinbank-gateway/src/quarantine/mod.rs
+++ b/crates/tinbank-gateway/src/quarantine/mod.rs
@@ -13,7 +13,8 @@
 use log::Level;
 use tinbank_base::id;
 use tinbank_quarantine::{
-    CrashReport, Fingerprint, Position, Quarantined, Table, Update, fingerprint::short, table::Change,
+    CrashReport, Fingerprint, Position, Quarantined, Table, Update, fingerprint::short,
+    table::Change,
 };
 use tokio::sync::Notify;
 
@@ -122,7 +123,9 @@
 
 /// Records how far an interrupted answer got. A suspect is cleared if that is beyond the earlier crashes.
 pub(crate) fn record_progress(node: &Rc<Node>, request: &Request, reached: Position) {
-    clear_if(node, request, |table, request| table.record_progress(request, reached));
+    clear_if(node, request, |table, request| {
+        table.record_progress(request, reached)
+    });
 }
 
 fn clear_if(
--- a/crates/tinbank-gateway/src/run.rs
+++ b/crates/tinbank-gateway/src/run.rs
@@ -165,9 +165,7 @@
 /// Registers the host, so that others ask it for slots, and again if its entry is taken off the list: when a host stops, the
 /// store may do what it asked for seconds later, when the host has already started again.
 async fn register(node: Rc<Node>) {
-    node.view
-        .wait_for_hosts(Instant::now() + FIRST_LIST)
-        .await;
+    node.view.wait_for_hosts(Instant::now() + FIRST_LIST).await;
     while !node.stop.is_stopping() {
         if node.view.is_listed(node.sharing.own()) {
             node.view
--- a/crates/tinbank-gateway/src/sharing/ask.rs
+++ b/crates/tinbank-gateway/src/sharing/ask.rs
@@ -66,7 +66,8 @@
             return Asked::Full;
         }
         // Those of other failure domains are known to their allocators only.
-        let is_known = node.view.is_own_domain_only() || node.view.has_other_upstream(wanted.service, &[]);
+        let is_known =
+            node.view.is_own_domain_only() || node.view.has_other_upstream(wanted.service, &[]);
         if denied && is_known && wanted.queue != Queue::Any {
             return Asked::Full;
         }
--- a/crates/tinbank-gateway/src/view.rs
+++ b/crates/tinbank-gateway/src/view.rs
@@ -185,7 +185,8 @@
         let listing = self.upstreams.borrow();
         let now = Instant::now();
         let serving = self.serving(&listing).filter(|it| it.service == service);
-        serving.filter(|it| self.cold_start(it, now).is_none())
+        serving
+            .filter(|it| self.cold_start(it, now).is_none())
             .cloned()
             .collect()
     }
--- a/crates/tinbank-gateway/src/view/lists.rs
+++ b/crates/tinbank-gateway/src/view/lists.rs
@@ -32,7 +32,8 @@
     }
     loop {
         node.feed.wait_until_reader(list).await;
-        if list == List::Upstreams && node.feed.serves_followers() && node.view.is_own_domain_only() {
+        if list == List::Upstreams && node.feed.serves_followers() && node.view.is_own_domain_only()
+        {
             // Followers need the upstreams of all failure domains.
             node.view.lists.of(list).reset();
         }
--- a/crates/tinbank-gateway/src/view/told.rs
+++ b/crates/tinbank-gateway/src/view/told.rs
@@ -12,7 +12,7 @@
 
 use super::{
     View,
-    entries::{record_changes, on_evacuation_changes, record_read, apply_config},
+    entries::{apply_config, on_evacuation_changes, record_changes, record_read},
     mark::Watermark,
 };
 use crate::{
@@ -21,7 +21,12 @@
 };
 
 /// Applies an update from a delegate. `is_own_domain_only` says whether its upstreams are only those of the own failure domain.
-pub(crate) fn apply_update(node: &Node, update: Update, received_at: Instant, is_own_domain_only: bool) {
+pub(crate) fn apply_update(
+    node: &Node,
+    update: Update,
+    received_at: Instant,
+    is_own_domain_only: bool,
+) {
     let view = &node.view;
     if let Some(snapshot) = newer(&view.lists.evacuations, update.evacuations) {
         let changes = view.evacuations.borrow_mut().replace(snapshot.entries);
@@ -43,7 +48,8 @@
         record_read(node, List::Hosts, received_at, changed);
     }
     if let Some(snapshot) = newer(view.lists.of(List::Quarantine), update.quarantine) {
-        node.quarantine.replace_stored(&snapshot.entries, received_at);
+        node.quarantine
+            .replace_stored(&snapshot.entries, received_at);
         view.lists
             .of(List::Quarantine)
             .advance(snapshot.position, true);
@@ -62,7 +68,11 @@
 }
 
 /// Returns whether the upstreams changed.
-fn apply_upstreams(node: &Node, delta: Delta<Upstream, id::Instance>, is_own_domain_only: bool) -> bool {
+fn apply_upstreams(
+    node: &Node,
+    delta: Delta<Upstream, id::Instance>,
+    is_own_domain_only: bool,
+) -> bool {
     let view = &node.view;
     let position = delta.position;
     let mut listing = view.upstreams.borrow_mut();
--- a/crates/tinbank-quarantine/src/table.rs
+++ b/crates/tinbank-quarantine/src/table.rs
@@ -244,10 +244,12 @@
             it.quarantined_until.is_some() || now < it.last_crash_at + MAX_QUARANTINE
         });
         let suspects = self.suspects.iter();
-        let unstored =
-            suspects.filter(|(_, it)| it.quarantined_until.is_some() && !it.is_stored);
+        let unstored = suspects.filter(|(_, it)| it.quarantined_until.is_some() && !it.is_stored);
         let additions = unstored.map(|(request, it)| Write::Quarantine(it.summary(*request)));
-        let releases = self.to_release.iter().map(|request| Write::Release(*request));
+        let releases = self
+            .to_release
+            .iter()
+            .map(|request| Write::Release(*request));
         additions.chain(releases).collect()
     }
 
@@ -304,7 +306,10 @@
     }
 
     fn quarantine(&mut self, now: Instant) {
-        let doublings = self.ended.saturating_sub(CRASH_THRESHOLD).min(u32::BITS - 1);
+        let doublings = self
+            .ended
+            .saturating_sub(CRASH_THRESHOLD)
+            .min(u32::BITS - 1);
         let time = FIRST_QUARANTINE
             .saturating_mul(1 << doublings)
             .min(MAX_QUARANTINE);
--- a/crates/tinbank-quarantine/tests/fleet/main.rs
+++ b/crates/tinbank-quarantine/tests/fleet/main.rs
@@ -3,9 +3,9 @@
 //! Comparison of strategies, for `docs/design/quarantine.md`:
 //! `cargo test --release -p tinbank-quarantine --test fleet -- --ignored --nocapture`.
 
-mod play;
+mod simulation;
 
-use play::{Outcome, Scenario, Strategy};
+use simulation::{Outcome, Scenario, Strategy};
 use yare::parameterized;
 
 /// Number of seeds for each row of the table.
@@ -53,7 +53,13 @@
         ("12 hosts", BASE),
         ("3 hosts", Scenario { hosts: 3, ..BASE }),
         ("300 hosts", Scenario { hosts: 300, ..BASE }),
-        ("each 0.1 s", Scenario { interval: 100, ..BASE }),
+        (
+            "each 0.1 s",
+            Scenario {
+                interval: 100,
+                ..BASE
+            },
+        ),
         ("4 copies at once", Scenario { copies: 4, ..BASE }),
         (
             "3 of 10 datagrams lost",
@@ -99,10 +105,19 @@
         Strategy::Stored,
         Strategy::BroadcastAndStored,
     ];
-    println!("| fault | strategy | upstreams crashed | retries | others interrupted | others quarantined |");
+    println!(
+        "| fault | strategy | upstreams crashed | retries | others interrupted | others quarantined |"
+    );
     for (name, scenario) in scenarios {
         for strategy in strategies {
-            let outcomes = (1..=SEEDS).map(|seed| Scenario { strategy, seed, ..scenario }.run());
+            let outcomes = (1..=SEEDS).map(|seed| {
+                Scenario {
+                    strategy,
+                    seed,
+                    ..scenario
+                }
+                .run()
+            });
             let all: Vec<Outcome> = outcomes.collect();
             let sum = |of: fn(&Outcome) -> usize| all.iter().map(of).sum::<usize>();
             let max = all.iter().map(|it| it.retries).max().unwrap_or_default();
--- a/crates/tinbank-quarantine/tests/fleet/play.rs
+++ b/crates/tinbank-quarantine/tests/fleet/simulation.rs
@@ -7,7 +7,9 @@
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use tinbank_base::id;
-use tinbank_quarantine::{InFlight, Fingerprint, Quarantined, Update, CrashReport, Table, table::Write};
+use tinbank_quarantine::{
+    CrashReport, Fingerprint, InFlight, Quarantined, Table, Update, table::Write,
+};
 
 const POISON: Fingerprint = 1;
 /// Times in milliseconds: a simulation step, the first event of an answer, the interval of its events, the run of a poison request
@@ -181,8 +183,10 @@
     /// Returns whether a host has had no fault for the convergence time.
     fn has_converged(&self, host: usize) -> bool {
         let after = |at: &u64| (*at..at + CONVERGENCE_TIME).contains(&self.now);
-        let was_partitioned = (400..20_000 + CONVERGENCE_TIME).contains(&self.now) && host.is_multiple_of(3);
-        !(self.scenario.is_partitioned && was_partitioned || self.scenario.restarts_all && RESTARTS_AT.iter().any(after))
+        let was_partitioned =
+            (400..20_000 + CONVERGENCE_TIME).contains(&self.now) && host.is_multiple_of(3);
+        !(self.scenario.is_partitioned && was_partitioned
+            || self.scenario.restarts_all && RESTARTS_AT.iter().any(after))
     }
 
     fn step(&mut self) {
@@ -232,7 +236,9 @@
             let (due, later) = host.reads.drain(..).partition(|(time, _)| *time <= now);
             host.reads = later;
             due.into_iter()
-                .for_each(|(_, stored): (u64, Vec<Quarantined>)| drop(host.table.replace_stored(&stored, at)));
+                .for_each(|(_, stored): (u64, Vec<Quarantined>)| {
+                    drop(host.table.replace_stored(&stored, at))
+                });
         }
     }
 
@@ -320,7 +326,8 @@
             let lost = self.rng.random_range(0..100) < self.scenario.loss_percent;
             let resend_lost = self.rng.random_range(0..100) < self.scenario.loss_percent;
             let delay = match (self.scenario.strategy, lost, resend_lost) {
-                (Strategy::Stateless | Strategy::Local, ..) | (Strategy::Broadcast | Strategy::BroadcastAndStored, true, true) => {
+                (Strategy::Stateless | Strategy::Local, ..)
+                | (Strategy::Broadcast | Strategy::BroadcastAndStored, true, true) => {
                     continue;
                 }
                 (Strategy::Stored, ..) => self.rng.random_range(10..STORE_READ_DELAY),
@@ -362,7 +369,8 @@
 
     /// Submits new requests. The poison request is sent repeatedly, with a pause of 15 s.
     fn submit_requests(&mut self) {
-        let others = self.upstreams.len() as f64 * OTHER_REQUESTS_PER_SECOND * STEP as f64 / 1_000.0;
+        let others =
+            self.upstreams.len() as f64 * OTHER_REQUESTS_PER_SECOND * STEP as f64 / 1_000.0;
         let others = others as usize + usize::from(self.rng.random_bool(others.fract()));
         for _ in 0..others {
             let is_item = self.rng.random_bool(0.05);
@@ -423,7 +431,9 @@
         let Some(index) = free else {
             return self.requeue_item(request);
         };
-        let is_late = self.threshold_at.is_some_and(|threshold| now > threshold + CONVERGENCE_TIME);
+        let is_late = self
+            .threshold_at
+            .is_some_and(|threshold| now > threshold + CONVERGENCE_TIME);
         if request.name == POISON && is_late && self.has_converged(host) {
             self.outcome.retries += 1;
         }
--- a/crates/tinbank-quarantine/tests/table.rs
+++ b/crates/tinbank-quarantine/tests/table.rs
@@ -132,7 +132,10 @@
 
     assert_eq!(writes, [Write::Release(REQUEST)]);
     assert!(is_released);
-    assert_eq!(table.quarantined_until(REQUEST, later), Some(later + 2 * HOUR));
+    assert_eq!(
+        table.quarantined_until(REQUEST, later),
+        Some(later + 2 * HOUR)
+    );
 }
 
 #[test]
