--- a/crates/tinbank-gateway/src/relay/online.rs
+++ b/crates/tinbank-gateway/src/relay/online.rs
@@ -16,7 +16,7 @@
     attempt::{Attempts, Failure, Next},
     event,
     route::{Kind, Route},
-    silence::Unanswered,
+    silence::ResponseTimeout,
 };
 
 use super::{
@@ -154,8 +154,8 @@
             let Some(opened) = self.attempt(resume_after).await? else {
                 refusals += 1;
                 match self.attempts.next() {
-                    Next::Again if refusals < MAX_REFUSALS => continue,
-                    Next::Again => return Err(self.attempts.give_up()),
+                    Next::Retry if refusals < MAX_REFUSALS => continue,
+                    Next::Retry => return Err(self.attempts.give_up()),
                     next => return Err(next),
                 }
             };
@@ -297,14 +297,14 @@
         if !another {
             return self.admission.deadline;
         }
-        let unanswered = Unanswered {
+        let timeout = ResponseTimeout {
             target: self.route.target_latency,
             is_queued,
             is_late: self.admission.is_late,
-            usually_held: self.node.usual(&self.route).held,
+            typical_hold: self.node.usual(&self.route).held,
         };
-        unanswered
-            .silent_at(Instant::now())
+        timeout
+            .deadline(Instant::now())
             .min(self.admission.deadline)
     }
 
@@ -313,7 +313,7 @@
             Trouble::NotRun | Trouble::HeldBack => Failure::NotRun,
             Trouble::Lost | Trouble::Silent => Failure::Unknown,
         };
-        self.attempts.note(upstream.clone(), failure);
+        self.attempts.record(upstream.clone(), failure);
     }
 
     /// Notes an upstream's own failure. True if the request may be sent to another one.
@@ -322,8 +322,8 @@
             return false;
         }
         self.attempts
-            .note(opened.lease.upstream.clone(), Failure::Unknown);
-        self.attempts.next() == Next::Again
+            .record(opened.lease.upstream.clone(), Failure::Unknown);
+        self.attempts.next() == Next::Retry
     }
 
     fn answer(mut self, opened: StartedAnswer, resume_after: Option<u64>) -> Response<Body> {
@@ -379,13 +379,13 @@
     /// What the caller is told where neither its content nor its customer's allowance is the reason.
     fn refusal(&self, next: Next) -> Reply {
         match next {
-            Next::Refuse | Next::Again if self.overloaded => {
+            Next::Refuse | Next::Retry if self.overloaded => {
                 let usual = self.node.usual(&self.route);
                 Reply::NotRun {
                     retry_after: self.admission.retry_after(usual, self.node.draw()),
                 }
             }
-            Next::Refuse | Next::Again => Reply::NotRun {
+            Next::Refuse | Next::Retry => Reply::NotRun {
                 retry_after: RETRY_AFTER,
             },
             Next::Fail if Instant::now() >= self.admission.deadline => Reply::TimedOut,
--- a/crates/tinbank-gateway/src/relay/stream.rs
+++ b/crates/tinbank-gateway/src/relay/stream.rs
@@ -10,7 +10,7 @@
     attempt::{Failure, Next},
     event::{self, Event, Splitter},
     route::Kind,
-    silence::Gap,
+    silence::IdleTimeout,
 };
 use tokio::time;
 
@@ -30,7 +30,7 @@
     ready: VecDeque<Event>,
     last: Option<event::Id>,
     has_begun: bool,
-    gap: Gap,
+    idle_timeout: IdleTimeout,
 }
 
 /// The upstream that a stream comes from.
@@ -67,7 +67,7 @@
             ready: VecDeque::new(),
             last: resume_after,
             has_begun: false,
-            gap: Gap::new(relay.route.event_gap, Instant::now()),
+            idle_timeout: IdleTimeout::new(relay.route.event_gap, Instant::now()),
             relay,
         }
     }
@@ -142,18 +142,18 @@
         if !std::mem::replace(&mut self.has_begun, true) {
             self.relay.note_first_event();
         }
-        self.gap.heard(Instant::now());
+        self.idle_timeout.record_event(Instant::now());
     }
 
     /// From when on the upstream counts as silent; never, where nobody else may go on.
     fn silent_at(&self) -> Option<Instant> {
-        self.is_resumable().then(|| self.gap.silent_at())
+        self.is_resumable().then(|| self.idle_timeout.deadline())
     }
 
     fn is_resumable(&self) -> bool {
         let relay = &self.relay;
         matches!(relay.route.kind, Kind::Stream { resumable: true })
-            && relay.attempts.could_run_again()
+            && relay.attempts.can_run_again()
     }
 
     /// Goes on at another upstream. The old one is left first, so that no two work on the request.
@@ -170,13 +170,13 @@
             return Err(self.abort(why));
         }
         if let Some(upstream) = from {
-            self.relay.attempts.note(upstream, Failure::Unknown);
+            self.relay.attempts.record(upstream, Failure::Unknown);
         }
         self.splitter = Splitter::default();
         loop {
             let opened = match self.relay.attempt(self.last).await {
                 Ok(Some(opened)) => opened,
-                Ok(None) if self.relay.attempts.next() == Next::Again => continue,
+                Ok(None) if self.relay.attempts.next() == Next::Retry => continue,
                 Ok(None) | Err(_) => return Err(self.abort(why)),
             };
             if opened.verdict != Verdict::Answer {
@@ -184,7 +184,7 @@
                 return Err(self.abort("the next upstream failed"));
             }
             log::info!(request:% = self.relay.request.id, upstream:% = opened.lease.upstream, after = self.last.unwrap_or(0); "stream resumed");
-            self.gap.resumed(Instant::now());
+            self.idle_timeout.restart(Instant::now());
             self.source = Some(Source {
                 lease: opened.lease,
                 body: opened.body,
--- a/crates/tinbank-relay/src/attempt.rs
+++ b/crates/tinbank-relay/src/attempt.rs
@@ -1,27 +1,27 @@
-//! What becomes of a request after an attempt at an upstream.
+//! Retry decisions after failed attempts of a request.
 
 use smallvec::SmallVec;
 use tinbank_base::id;
 
 use crate::route::Kind;
 
-/// How an attempt ended without an answer for the caller.
+/// Failure of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// It provably did not run: nothing was written, or the upstream says so.
+    /// The request did not run: nothing was written, or the upstream said so.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
-/// What to do next.
+/// Next step for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// Ask for another upstream.
-    Again,
-    /// Tell the caller that the request did not run.
+    /// Try another upstream.
+    Retry,
+    /// Report to the caller that the request did not run.
     Refuse,
-    /// Tell the caller that it failed, without saying whether it ran.
+    /// Report to the caller that the request failed and may have run.
     Fail,
 }
 
@@ -30,62 +30,62 @@
 pub struct Attempts {
     kind: Kind,
     max: u32,
-    /// Upstreams that may have run it.
-    ran: u32,
-    /// Upstreams that were tried, and are not tried again.
+    /// Number of attempts that may have run.
+    runs: u32,
+    /// Upstreams that are not tried again.
     tried: SmallVec<[id::Instance; 4]>,
 }
 
 impl Attempts {
-    /// A request that was not sent yet.
+    /// Creates the record of a request that was not sent yet and may run at `max` upstreams.
     pub fn new(kind: Kind, max: u32) -> Self {
         Self {
             kind,
             max: max.max(1),
-            ran: 0,
+            runs: 0,
             tried: SmallVec::new(),
         }
     }
 
-    /// Upstreams that were tried.
+    /// Returns the upstreams that were tried.
     pub fn tried(&self) -> &[id::Instance] {
         &self.tried
     }
 
-    /// True if the request may have run at some upstream.
+    /// Returns whether any attempt may have run.
     pub fn may_have_run(&self) -> bool {
-        self.ran > 0
+        self.runs > 0
     }
 
-    /// Takes in an attempt that ended without an answer.
-    pub fn note(&mut self, upstream: id::Instance, failure: Failure) {
+    /// Records a failed attempt.
+    pub fn record(&mut self, upstream: id::Instance, failure: Failure) {
         if failure == Failure::Unknown {
-            self.ran += 1;
+            self.runs += 1;
         }
         if !self.tried.contains(&upstream) {
             self.tried.push(upstream);
         }
     }
 
-    /// What to do after the last attempt noted.
+    /// Returns what to do after the recorded attempts.
     pub fn next(&self) -> Next {
-        if self.ran == 0 {
-            return Next::Again;
+        if self.runs == 0 {
+            return Next::Retry;
         }
-        if self.kind.is_idempotent() && self.ran < self.max {
-            return Next::Again;
+        if self.kind.is_idempotent() && self.runs < self.max {
+            return Next::Retry;
         }
         Next::Fail
     }
 
-    /// True if the request may go to one more upstream though the one that has it now may have run it.
-    pub fn could_run_again(&self) -> bool {
-        self.kind.is_idempotent() && self.ran + 1 < self.max
+    /// Returns whether the request may be sent to another upstream if the current attempt fails after it may have run.
+    pub fn can_run_again(&self) -> bool {
+        self.kind.is_idempotent() && self.runs + 1 < self.max
     }
 
-    /// How a request ends for which there is no upstream or no time.
+    /// Returns what to report if no upstream or no time is left.
     pub fn give_up(&self) -> Next {
-        match self.ran {
+        match self.runs {
             0 => Next::Refuse,
             _ => Next::Fail,
         }
--- a/crates/tinbank-relay/src/caller_timeout.rs
+++ b/crates/tinbank-relay/src/caller_timeout.rs
@@ -1,14 +1,14 @@
-//! How long callers wait, learned from what they say, to tell which of them came before.
+//! Detection of retries by callers, from the time that a request has left compared to the usual timeout of callers.
 
 use std::time::Duration;
 
-/// A request with less than all but one part in so many of the usual time came before: it was refused, or its host was lost.
-const FIRST_TRY_PART: u32 = 20;
-/// Requests after which what callers say counts; until then the route's own time limit stands in. Source: after all hosts
-/// were lost the first requests are those of callers that come again.
-const LEARNED: u32 = 8;
+/// A request with less than 19/20 of the usual time left is a retry of one that was refused or whose host failed.
+const TOLERANCE_DIVISOR: u32 = 20;
+/// Number of requests after which the observed timeout is used. Before that, at least the route's limit is assumed, since the
+/// first requests after a restart of all hosts are mostly retries.
+const MIN_REQUESTS: u32 = 8;
 
-/// The time that callers of a route have at first.
+/// The timeout that callers of a route usually set.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CallerTimeout {
     longest: Duration,
@@ -16,14 +16,14 @@
 }
 
 impl CallerTimeout {
-    /// Takes in a request with its time left, on a route with a time limit. True if it is likely the caller's first try.
+    /// Records a request and returns whether it is likely the caller's first try. `limit` is the time limit of the route.
     pub fn is_first_try(&mut self, time_left: Duration, limit: Duration) -> bool {
         self.longest = self.longest.max(time_left);
         self.seen = self.seen.saturating_add(1);
-        let usual = match self.seen < LEARNED {
+        let usual = match self.seen < MIN_REQUESTS {
             true => limit.max(self.longest),
             false => self.longest,
         };
-        time_left * FIRST_TRY_PART >= usual * (FIRST_TRY_PART - 1)
+        time_left * TOLERANCE_DIVISOR >= usual * (TOLERANCE_DIVISOR - 1)
     }
 }
--- a/crates/tinbank-relay/src/lib.rs
+++ b/crates/tinbank-relay/src/lib.rs
@@ -1,6 +1,6 @@
-//! Routes, event streams and the rules by which a request is sent again.
+//! Routing, event streams, retries and timeouts of relayed requests.
 //!
-//! All of it is pure; `tinbank-gateway` does the I/O. See `docs/design/users-platform.md`.
+//! The crate does no I/O; `tinbank-gateway` does it. See `docs/design/users-platform.md`.
 
 pub mod attempt;
 pub mod evacuation;
--- a/crates/tinbank-relay/src/listing.rs
+++ b/crates/tinbank-relay/src/listing.rs
@@ -1,13 +1,11 @@
-//! Which upstreams are listed, and which of those that are missing may still be there.
+//! Upstreams as listed in the platform's store, tolerant of store outages.
 //!
-//! Upstreams renew their entries in the platform's store, and an entry that is not renewed lapses. While the store is away
-//! no entry can be renewed, so upstreams that live and serve are taken off the list all at once, and are back some two
-//! seconds after the store. To believe such a list costs every request of those seconds: on a day on which the store was
-//! away twice within 12 s, 348 of some 2,900 requests were refused though all nine upstreams lived. An entry that is taken
-//! off while the store answers all the time counts as gone at once.
+//! Upstreams renew their entries in the store, and an entry that is not renewed expires. During a store outage no entry can
+//! be renewed, so the entries of healthy upstreams expire all at once and reappear about two seconds after the store does.
+//! Entries that disappear in that period are therefore kept as missing until the upstreams have had time to renew them.
+//! An entry that is removed while the store answers without a gap means that the upstream is gone.
 //!
-//! An upstream may start again under its name. It is another one then: it holds nothing that the one before had, so what was
-//! believed of that one ends, and nothing of it counts for the new one.
+//! An upstream that restarts under the same name is a new instance; no state of the previous instance applies to it.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -19,78 +17,77 @@
 
 use crate::upstream::Upstream;
 
-/// For how long the store has to answer without a failure before what is missing is gone. Source: the platform promises
-/// that entries of living upstreams are back after about two seconds; the rest is for reading them.
+/// Time for which the store has to answer without a failure before missing upstreams count as gone. The platform restores
+/// the entries of running upstreams within about two seconds; the rest is for reading them.
 pub const RENEWAL_TIME: Duration = Duration::from_millis(2_500);
 
-/// The longest time between two answers of a store that is not away. Source: a read that waits a second for news, its
-/// answer, and the pause behind it.
-pub const LONGEST_PAUSE: Duration = Duration::from_millis(2_200);
+/// Longest time between two answers of a reachable store: a read that waits for changes, its answer and the pause before the
+/// next read.
+pub const MAX_ANSWER_GAP: Duration = Duration::from_millis(2_200);
 
-/// By how much later an upstream has to be cold than was believed before that counts as a change: each entry tells the time left,
-/// and is read some time after it was written.
-const COLD_PRECISION: Duration = Duration::from_millis(1_500);
+/// Smallest extension of a cold period that counts as a change. Entries state the time left and are read with a delay, so the
+/// computed end of the period varies.
+const COLD_TOLERANCE: Duration = Duration::from_millis(1_500);
 
-/// What the listing believes anew, for the log.
+/// A change to the state of an upstream, for logs and followers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// The upstream is listed, or says another thing about its leaving.
+    /// The upstream is new, or its entry changed.
     Listed(Upstream),
-    /// Its entry is missing, and it counts as there until the store has answered for long enough.
+    /// Its entry is missing after a store outage; it still counts as present.
     Missing(id::Instance),
-    /// It is gone.
     Gone(id::Instance),
 }
 
-/// Changes of one read.
+/// Changes caused by one read.
 pub type Changes = SmallVec<[Change; 4]>;
 
-/// The upstreams as far as they are known.
+/// The known upstreams.
 #[derive(Debug, Default)]
 pub struct Listing {
-    known: HashMap<id::Instance, State>,
-    /// The start that is listed under a name, or was listed last.
-    starts: HashMap<id::Instance, id::Instance>,
-    contact: Contact,
+    states: HashMap<id::Instance, State>,
+    /// The latest instance listed under each name.
+    instances: HashMap<id::Instance, id::Instance>,
+    store: StoreContact,
 }
 
 #[derive(Debug)]
 enum State {
     Listed(Upstream),
     Missing(Upstream),
-    /// An upstream that was taken for gone may be listed again.
+    /// Kept in the map, since the instance may be listed again.
     Gone,
 }
 
-/// Since when the store answers.
+/// Availability of the store, by its answers to reads of the list.
 #[derive(Debug, Default)]
-struct Contact {
-    answered_at: Option<Instant>,
+struct StoreContact {
+    last_answer_at: Option<Instant>,
     has_failed: bool,
-    /// From then on a missing entry means that the upstream is gone.
-    settled_from: Option<Instant>,
+    /// From then on, a missing entry means that the upstream is gone.
+    reliable_from: Option<Instant>,
 }
 
-impl Contact {
-    fn record_store_answer(&mut self, now: Instant) {
-        let pause_ends = self.answered_at.map(|at| at + LONGEST_PAUSE);
-        let was_away = self.has_failed || pause_ends.is_some_and(|end| now > end);
-        if was_away {
-            self.settled_from = Some(now + RENEWAL_TIME);
+impl StoreContact {
+    fn record_answer(&mut self, now: Instant) {
+        let gap_end = self.last_answer_at.map(|at| at + MAX_ANSWER_GAP);
+        let was_unavailable = self.has_failed || gap_end.is_some_and(|end| now > end);
+        if was_unavailable {
+            self.reliable_from = Some(now + RENEWAL_TIME);
         }
         self.has_failed = false;
-        self.answered_at = Some(now);
+        self.last_answer_at = Some(now);
     }
 
-    fn is_settled(&self, now: Instant) -> bool {
-        !self.has_failed && self.settled_from.is_none_or(|from| now >= from)
+    fn is_reliable(&self, now: Instant) -> bool {
+        !self.has_failed && self.reliable_from.is_none_or(|from| now >= from)
     }
 }
 
-/// True if two entries of an upstream differ in nothing that anybody has to hear of.
-fn says_the_same(before: &Upstream, now: &Upstream) -> bool {
+/// Returns whether two entries of an upstream have no difference that has to be reported.
+fn is_equivalent(before: &Upstream, now: &Upstream) -> bool {
     let is_colder = match (before.cold_until, now.cold_until) {
-        (Some(before), Some(now)) => now > before + COLD_PRECISION,
+        (Some(before), Some(now)) => now > before + COLD_TOLERANCE,
         (None, Some(_)) => true,
         (_, None) => false,
     };
@@ -98,42 +95,42 @@
 }
 
 impl Listing {
-    /// The store has answered a read of the list. Called before what was read is taken in.
+    /// Records that the store answered a read of the list. Called before the result is applied.
     pub fn record_store_answer(&mut self, now: Instant) {
-        self.contact.record_store_answer(now);
+        self.store.record_answer(now);
     }
 
-    /// A read of the list had no answer.
+    /// Records that a read of the list got no answer.
     pub fn record_store_failure(&mut self) {
-        self.contact.has_failed = true;
+        self.store.has_failed = true;
     }
 
-    /// An entry was written. Where it is of another start than before, the one before is gone.
+    /// Applies a written entry. A previous instance of the same name is gone.
     pub fn add(&mut self, upstream: Upstream) -> Changes {
         let mut changes = Changes::new();
         let instance = upstream.instance.clone();
-        let before = self.starts.insert(upstream.name.clone(), instance.clone());
+        let before = self.instances.insert(upstream.name.clone(), instance.clone());
         if let Some(before) = before.filter(|it| *it != instance)
             && let Some(State::Listed(_) | State::Missing(_)) =
-                self.known.insert(before.clone(), State::Gone)
+                self.states.insert(before.clone(), State::Gone)
         {
             changes.push(Change::Gone(before));
         }
-        let before = self.known.insert(instance, State::Listed(upstream.clone()));
+        let before = self.states.insert(instance, State::Listed(upstream.clone()));
         let is_same =
-            matches!(before, Some(State::Listed(before)) if says_the_same(&before, &upstream));
+            matches!(before, Some(State::Listed(before)) if is_equivalent(&before, &upstream));
         if !is_same {
             changes.push(Change::Listed(upstream));
         }
         changes
     }
 
-    /// The entry of a name was taken off the list.
+    /// Applies the removal of a name's entry.
     pub fn remove(&mut self, name: &id::Instance, now: Instant) -> Option<Change> {
-        let instance = self.starts.get(name).unwrap_or(name);
-        let state = self.known.remove(instance);
+        let instance = self.instances.get(name).unwrap_or(name);
+        let state = self.states.remove(instance);
         let (state, change) = match state {
-            Some(State::Listed(upstream)) if !self.contact.is_settled(now) => (
+            Some(State::Listed(upstream)) if !self.store.is_reliable(now) => (
                 State::Missing(upstream),
                 Some(Change::Missing(instance.clone())),
             ),
@@ -141,41 +138,40 @@
             Some(missing @ State::Missing(_)) => (missing, None),
             Some(State::Gone) | None => (State::Gone, None),
         };
-        self.known.insert(instance.clone(), state);
+        self.states.insert(instance.clone(), state);
         change
     }
 
-    /// Another host has told which upstreams there are, by its own reads of the list. What it does not name is gone: it has
-    /// waited for entries that lapsed.
+    /// Applies the full list of upstreams that another host sent. Upstreams that are not in it are gone: the sender has
+    /// already waited for expired entries to be renewed.
     pub fn apply_snapshot(&mut self, upstreams: Vec<Upstream>) -> Changes {
         let named: HashSet<id::Instance> = upstreams.iter().map(|it| it.instance.clone()).collect();
-        let known = self.known.keys();
+        let known = self.states.keys();
         let unnamed: Vec<_> = known.filter(|it| !named.contains(*it)).cloned().collect();
         self.apply_update(upstreams, unnamed)
     }
 
-    /// Another host has told which upstreams changed and which are gone. An upstream that was heard to leave here does not
-    /// come back by what the other knows.
+    /// Applies the changes that another host sent. An upstream that is leaving by this host's own knowledge stays so.
     pub fn apply_update(&mut self, upstreams: Vec<Upstream>, gone: Vec<id::Instance>) -> Changes {
         let mut changes = Changes::new();
         for instance in gone {
-            let before = self.known.insert(instance.clone(), State::Gone);
+            let before = self.states.insert(instance.clone(), State::Gone);
             if !matches!(before, Some(State::Gone)) {
                 changes.push(Change::Gone(instance));
             }
         }
-        let told = upstreams.into_iter().map(|mut upstream| {
+        let merged = upstreams.into_iter().map(|mut upstream| {
             upstream.leaving |= self.was_leaving(&upstream.instance);
             upstream
         });
-        let told: Vec<Upstream> = told.collect();
-        changes.extend(told.into_iter().flat_map(|it| self.add(it)));
+        let merged: Vec<Upstream> = merged.collect();
+        changes.extend(merged.into_iter().flat_map(|it| self.add(it)));
         changes
     }
 
-    /// Forgets the upstreams of other failure domains, of which nothing is heard from now on.
+    /// Drops the upstreams of other failure domains, about which this host receives no more updates.
     pub fn retain_failure_domain(&mut self, failure_domain: &str) {
-        self.known.retain(|_, state| match state {
+        self.states.retain(|_, state| match state {
             State::Listed(upstream) | State::Missing(upstream) => {
                 upstream.failure_domain == failure_domain
             }
@@ -185,15 +181,15 @@
 
     fn was_leaving(&self, instance: &id::Instance) -> bool {
         matches!(
-            self.known.get(instance),
+            self.states.get(instance),
             Some(State::Listed(upstream) | State::Missing(upstream)) if upstream.leaving
         )
     }
 
-    /// The whole list was read: what it does not name was taken off.
+    /// Applies a read of the whole list; entries that are not in it were removed.
     pub fn replace(&mut self, upstreams: Vec<Upstream>, now: Instant) -> Changes {
         let named: HashSet<&id::Instance> = upstreams.iter().map(|it| &it.name).collect();
-        let names = self.starts.keys();
+        let names = self.instances.keys();
         let unnamed: Vec<_> = names.filter(|it| !named.contains(*it)).cloned().collect();
         drop(named);
         let mut changes: Changes = unnamed
@@ -204,13 +200,13 @@
         changes
     }
 
-    /// Gives up what is missing once the store has answered for long enough.
+    /// Marks missing upstreams as gone once the store has answered for [`RENEWAL_TIME`].
     pub fn expire_missing(&mut self, now: Instant) -> Changes {
-        if !self.contact.is_settled(now) {
+        if !self.store.is_reliable(now) {
             return Changes::new();
         }
         let mut changes = Changes::new();
-        for (instance, state) in &mut self.known {
+        for (instance, state) in &mut self.states {
             if matches!(state, State::Missing(_)) {
                 *state = State::Gone;
                 changes.push(Change::Gone(instance.clone()));
@@ -219,48 +215,48 @@
         changes
     }
 
-    /// When what is missing is to be given up, if the store answers until then.
+    /// Returns when missing upstreams become gone if the store keeps answering, or `None` if none are missing.
     pub fn missing_expire_at(&self) -> Option<Instant> {
-        let mut states = self.known.values();
+        let mut states = self.states.values();
         let is_missing = states.any(|state| matches!(state, State::Missing(_)));
-        self.contact.settled_from.filter(|_| is_missing)
+        self.store.reliable_from.filter(|_| is_missing)
     }
 
-    /// An upstream said itself that it is leaving or gone.
+    /// Records that the upstream itself reported that it is leaving or gone.
     pub fn mark_leaving(&mut self, instance: &id::Instance) {
         if let Some(State::Listed(upstream) | State::Missing(upstream)) =
-            self.known.get_mut(instance)
+            self.states.get_mut(instance)
         {
             upstream.leaving = true;
         }
     }
 
-    /// True if the upstream is known to leave, or to be gone. One that was never listed may be new.
+    /// Returns whether the upstream is known to be leaving or gone. One that was never listed may be new.
     pub fn is_leaving(&self, instance: &id::Instance) -> bool {
-        match self.known.get(instance) {
+        match self.states.get(instance) {
             Some(State::Listed(upstream) | State::Missing(upstream)) => upstream.leaving,
             Some(State::Gone) => true,
             None => false,
         }
     }
 
-    /// An upstream, if it is there.
+    /// Returns an upstream unless it is gone or unknown.
     pub fn get(&self, instance: &id::Instance) -> Option<&Upstream> {
-        match self.known.get(instance)? {
+        match self.states.get(instance)? {
             State::Listed(upstream) | State::Missing(upstream) => Some(upstream),
             State::Gone => None,
         }
     }
 
-    /// All upstreams that are there, also those that leave.
+    /// Returns all upstreams that are not gone, including those that are leaving.
     pub fn present(&self) -> impl Iterator<Item = &Upstream> {
-        self.known.values().filter_map(|state| match state {
+        self.states.values().filter_map(|state| match state {
             State::Listed(upstream) | State::Missing(upstream) => Some(upstream),
             State::Gone => None,
         })
     }
 
-    /// The upstreams that take requests.
+    /// Returns the upstreams that accept requests.
     pub fn serving(&self) -> impl Iterator<Item = &Upstream> {
         self.present().filter(|upstream| !upstream.leaving)
     }
--- a/crates/tinbank-relay/src/remaining.rs
+++ b/crates/tinbank-relay/src/remaining.rs
@@ -1,10 +1,10 @@
-//! A deadline between hosts, told as the time that is left: their clocks differ.
+//! Serialization of a deadline as the time left, since the clocks of hosts differ.
 
 use std::time::{Duration, Instant};
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Writes the milliseconds that are left.
+/// Writes the milliseconds left.
 pub fn serialize<S: Serializer>(
     deadline: &Option<Instant>,
     serializer: S,
@@ -15,7 +15,7 @@
     left_ms.serialize(serializer)
 }
 
-/// Reads the milliseconds that are left, from now.
+/// Reads the milliseconds left and turns them into a deadline from now.
 pub fn deserialize<'a, D: Deserializer<'a>>(deserializer: D) -> Result<Option<Instant>, D::Error> {
     let left_ms = Option::<u32>::deserialize(deserializer)?;
     Ok(left_ms.map(|it| Instant::now() + Duration::from_millis(it.into())))
--- a/crates/tinbank-relay/src/route.rs
+++ b/crates/tinbank-relay/src/route.rs
@@ -1,4 +1,4 @@
-//! The configuration of routes, and which route a request takes.
+//! Route configuration and route selection.
 
 use std::{rc::Rc, time::Duration};
 
@@ -7,117 +7,111 @@
 use tinbank_base::id;
 use tinbank_customer::Customers;
 
-/// The configuration in force, as the operator wrote it.
+/// The active configuration, as written by the operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Config {
-    /// Rises with each change.
+    /// Increases with each change.
     pub version: u64,
-    /// All routes.
     pub routes: Vec<Rc<Route>>,
-    /// What callers may send.
     pub limits: Limits,
-    /// Who may send it; nothing means anybody.
+    /// Customers that may send requests; `None` lets anyone send them.
     pub customers: Option<Customers>,
-    /// Services whose upstreams bear little while they are cold.
+    /// Services whose upstreams are rate limited while they are cold.
     pub cold_starts: Vec<ColdStart>,
 }
 
-/// What the upstreams of a service bear while they are cold.
+/// Rate limit of the cold upstreams of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ColdStart {
-    /// The service.
     pub service: id::Service,
-    /// Requests a second of each of them.
+    /// Requests per second for each cold upstream.
     pub per_second: u32,
 }
 
-/// Bounds on what a caller may send, and for how long it may take.
+/// Size and time limits on what a caller sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Largest head of a request in bytes.
+    /// Largest request head in bytes.
     pub head_bytes: usize,
-    /// Largest body in bytes.
+    /// Largest request body in bytes.
     pub body_bytes: usize,
-    /// How long the head of a request may take.
+    /// Time within which the head of a request has to arrive.
     pub head_timeout: Duration,
-    /// How long a connection may stay without a request.
+    /// Time after which a connection without a request is closed.
     pub idle_timeout: Duration,
 }
 
 /// How the requests of some paths are handled.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// Name of the route.
     pub name: String,
-    /// Host name that its requests carry.
+    /// Host name that requests are addressed to.
     pub host: String,
-    /// Paths that begin with this take the route, unless a longer prefix fits.
+    /// Path prefix of the route; the longest matching prefix wins.
     pub prefix: String,
-    /// What its requests are.
     pub kind: Kind,
-    /// Services that serve it.
+    /// Services that its requests are distributed over.
     pub services: SmallVec<[Share; 2]>,
-    /// Longest time for which a request is held.
+    /// Longest time that a request may take.
     pub timeout: Duration,
-    /// Time within which an answer is worth most; for streams, the first event.
+    /// Target time for an answer; for streams, for the first event.
     pub target_latency: Duration,
-    /// Most upstreams that may run one request.
+    /// Number of upstreams that may run the same request.
     pub max_attempts: u32,
-    /// Its rank; 0 is the highest.
+    /// Priority of its requests; 0 is the highest.
     pub rank: u8,
-    /// Requests need no key.
+    /// Whether requests need no key.
     pub is_open: bool,
-    /// Longest pause between events at which a stream is still in time.
+    /// Longest time between two events of a stream.
     pub event_gap: Option<Duration>,
-    /// What is said of batch jobs, on routes that take them.
+    /// Settings for batch jobs, on routes that accept them.
     pub batch: Batch,
 }
 
 /// Settings of a route for batch jobs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
-    /// Most tokens that may wait on the route; nothing means no limit.
+    /// Number of tokens that may be queued on the route; `None` means no limit.
     pub quota: Option<u64>,
-    /// How long after its submission every result of a job is due.
+    /// Time after submission within which all results of a job are due.
     pub target: Duration,
-    /// How long after its submission an item may be given up.
+    /// Time after submission from which an item may be abandoned.
     pub retention: Duration,
 }
 
-/// Part of a route's requests that a service gets.
+/// Share of a route's requests that a service receives.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Share {
-    /// The service.
     pub service: id::Service,
-    /// Its weight among the route's services.
+    /// Weight relative to the route's other services.
     pub weight: u32,
 }
 
-/// What the requests of a route are.
+/// Kind of a route's requests, which decides when they may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
     /// May run more than once.
     Idempotent,
-    /// May run once at most.
+    /// May run at most once.
     Once,
-    /// Answers with events. A resumable one may be continued at another upstream, any other may run once at most.
+    /// Answered by an event stream. Only a resumable one may run more than once.
     Stream {
-        /// May be continued at another upstream.
+        /// Whether another upstream can continue the stream.
         resumable: bool,
     },
-    /// Takes batch jobs.
+    /// Submission of batch jobs.
     Batch,
 }
 
 impl Kind {
-    /// True if a request may be sent again though it may have run.
+    /// Returns whether a request that may have run may be sent again.
     pub fn is_idempotent(self) -> bool {
         matches!(self, Self::Idempotent | Self::Stream { resumable: true })
     }
 }
 
 impl Config {
-    /// The route of a request: that of its host with the longest prefix of its path.
+    /// Returns the route of `host` with the longest prefix that matches `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
         self.routes
             .iter()
@@ -125,7 +119,7 @@
             .max_by_key(|route| route.prefix.len())
     }
 
-    /// Requests a second that an upstream of a service bears while it is cold, if that is bounded.
+    /// Returns the requests per second that a cold upstream of a service accepts, if that is limited.
     pub fn cold_rate(&self, service: &str) -> Option<u32> {
         let mut starts = self.cold_starts.iter();
         starts
@@ -133,7 +127,7 @@
             .map(|it| it.per_second)
     }
 
-    /// True if a host name has a route for jobs that is open to all, so that a call about a job may come without a key.
+    /// Returns whether a host name has a batch route that needs no key, so that calls about jobs need none either.
     pub fn has_open_jobs(&self, host: &str) -> bool {
         let mut routes = self.routes.iter().filter(|route| route.host == host);
         routes.any(|route| route.is_open && route.kind == Kind::Batch)
@@ -141,7 +135,7 @@
 }
 
 impl Route {
-    /// The service of a request, drawn by the weights with `draw`, any number.
+    /// Returns the service for a request, chosen by weight with the sequence or random number `draw`.
     pub fn service(&self, draw: u64) -> Option<&id::Service> {
         let total: u64 = self.services.iter().map(|it| u64::from(it.weight)).sum();
         if total == 0 {
--- a/crates/tinbank-relay/src/silence.rs
+++ b/crates/tinbank-relay/src/silence.rs
@@ -1,85 +1,84 @@
-//! From when on an upstream that sends nothing is left, so that the request can go on elsewhere.
+//! Timeouts after which an unresponsive upstream is abandoned, so that the request can continue at another one.
 //!
-//! It answers upstreams that hang without closing their connections. To leave one too early runs a request twice and loads
-//! the others; to leave it too late makes a caller wait for nothing.
+//! They handle upstreams that hang without closing their connections. A timeout that is too short runs requests twice and
+//! loads the other upstreams; one that is too long delays the caller.
 
 use std::time::{Duration, Instant};
 
-/// Missing events after which an upstream counts as silent: its usual gap, so many times.
-const MISSING_EVENTS: u32 = 6;
-/// Shortest silence that ends a resumable stream, in percent of the longest pause that its route allows: the rest is for
-/// a slot, a connection and the first event elsewhere.
-const LEAST_SILENCE_PERCENT: u32 = 55;
-/// Shortest silence where the route names no longest pause.
-const LEAST_SILENCE: Duration = Duration::from_millis(110);
-/// Weight of the newest gap in the smoothed gap, one part in so many.
+/// Number of average gaps without an event after which an upstream counts as unresponsive.
+const MISSED_EVENTS: u32 = 6;
+/// Minimum idle timeout in percent of the event gap that the route allows. The remainder is for a slot, a connection and the
+/// first event at another upstream.
+const MIN_IDLE_PERCENT: u32 = 55;
+/// Minimum idle timeout if the route sets no event gap.
+const MIN_IDLE: Duration = Duration::from_millis(110);
+/// Smoothing of the average gap: the newest gap has the weight 1/8.
 const SMOOTHING: u32 = 8;
-/// Part of a route's target latency after which an idempotent request without any answer is tried elsewhere, so that the
-/// other part is for its answer there.
-const PATIENCE_PART: u32 = 2;
-/// Shortest time after which such a request is tried elsewhere, where the route names no target.
-const LEAST_PATIENCE: Duration = Duration::from_millis(150);
+/// Divisor of the route's target latency that gives the response timeout of an idempotent request. The remaining time is for
+/// the answer of another upstream.
+const TARGET_DIVISOR: u32 = 2;
+/// Minimum response timeout.
+const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// The gap between the events of a stream.
+/// The idle timeout of a stream, adapted to the average gap between its events.
 #[derive(Clone, Copy, Debug)]
-pub struct Gap {
-    usual: Duration,
-    least: Duration,
-    heard_at: Instant,
+pub struct IdleTimeout {
+    average_gap: Duration,
+    min: Duration,
+    last_event_at: Instant,
 }
 
-impl Gap {
-    /// A stream that begins, on a route with a longest pause between events.
-    pub fn new(longest_pause: Option<Duration>, now: Instant) -> Self {
-        let least =
-            longest_pause.map_or(LEAST_SILENCE, |pause| pause * LEAST_SILENCE_PERCENT / 100);
+impl IdleTimeout {
+    /// Creates the timeout of a stream that starts now, on a route that allows `max_gap` between events.
+    pub fn new(max_gap: Option<Duration>, now: Instant) -> Self {
+        let min = max_gap.map_or(MIN_IDLE, |gap| gap * MIN_IDLE_PERCENT / 100);
         Self {
-            usual: least / MISSING_EVENTS,
-            least,
-            heard_at: now,
+            average_gap: min / MISSED_EVENTS,
+            min,
+            last_event_at: now,
         }
     }
 
-    /// An event has come.
-    pub fn heard(&mut self, now: Instant) {
-        let gap = now.saturating_duration_since(self.heard_at);
-        self.usual = (self.usual * (SMOOTHING - 1) + gap) / SMOOTHING;
-        self.heard_at = now;
+    /// Records that an event was received.
+    pub fn record_event(&mut self, now: Instant) {
+        let gap = now.saturating_duration_since(self.last_event_at);
+        self.average_gap = (self.average_gap * (SMOOTHING - 1) + gap) / SMOOTHING;
+        self.last_event_at = now;
     }
 
-    /// The stream goes on at another upstream.
-    pub fn resumed(&mut self, now: Instant) {
-        self.heard_at = now;
+    /// Restarts the timeout when the stream continues at another upstream.
+    pub fn restart(&mut self, now: Instant) {
+        self.last_event_at = now;
     }
 
-    /// From when on the upstream counts as silent.
-    pub fn silent_at(&self) -> Instant {
-        self.heard_at + (self.usual * MISSING_EVENTS).max(self.least)
+    /// Returns when the upstream counts as unresponsive.
+    pub fn deadline(&self) -> Instant {
+        self.last_event_at + (self.average_gap * MISSED_EVENTS).max(self.min)
     }
 }
 
-/// A request that was sent and has no answer yet.
+/// The response timeout of a request that was sent.
 #[derive(Clone, Copy, Debug)]
-pub struct Unanswered {
-    /// Time within which its answer is to begin.
+pub struct ResponseTimeout {
+    /// Target time for the start of the answer.
     pub target: Duration,
-    /// It waits inside the upstream at first.
+    /// Whether the request is queued inside the upstream.
     pub is_queued: bool,
-    /// Its answer is late in any case.
+    /// Whether the answer misses its target in any case.
     pub is_late: bool,
-    /// Time for which requests of its route hold their slots, where that was measured.
-    pub usually_held: Option<Duration>,
+    /// Average time for which requests of the route hold a slot, if it was measured.
+    pub typical_hold: Option<Duration>,
 }
 
-impl Unanswered {
-    /// From when on the upstream counts as silent. One that has the request wait may take until it would be late, and if it
-    /// is late, until the requests ahead have come to their ends.
-    pub fn silent_at(&self, now: Instant) -> Instant {
-        let patience = match (self.is_queued, self.is_late) {
-            (false, _) => self.target / PATIENCE_PART,
+impl ResponseTimeout {
+    /// Returns when the upstream counts as unresponsive. A queued request may take its full target time or, if it is late
+    /// anyway, as long as the requests ahead of it hold their slots.
+    pub fn deadline(&self, now: Instant) -> Instant {
+        let timeout = match (self.is_queued, self.is_late) {
+            (false, _) => self.target / TARGET_DIVISOR,
             (true, false) => self.target,
-            (true, true) => self.usually_held.unwrap_or_default().max(self.target),
+            (true, true) => self.typical_hold.unwrap_or_default().max(self.target),
         };
-        now + patience.max(LEAST_PATIENCE)
+        now + timeout.max(MIN_RESPONSE_TIMEOUT)
     }
 }
--- a/crates/tinbank-relay/src/upstream.rs
+++ b/crates/tinbank-relay/src/upstream.rs
@@ -1,34 +1,31 @@
-//! Upstreams as the platform lists them.
+//! Upstreams as listed by the platform.
 
 use std::{net::SocketAddr, time::Instant};
 
 use serde::{Deserialize, Serialize};
 use tinbank_base::id;
 
-/// One start of an upstream.
+/// An instance of an upstream: one start of its process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Upstream {
-    /// Name of this start, which no other start has.
+    /// Unique id of this instance.
     pub instance: id::Instance,
-    /// Name under which it is listed; a later start may be listed under it as well.
+    /// Name under which it is listed. Later instances may use the same name.
     pub name: id::Instance,
-    /// Where it listens.
     pub address: SocketAddr,
-    /// Service it runs.
     pub service: id::Service,
-    /// Failure domain it runs in.
     pub failure_domain: id::FailureDomain,
-    /// How many requests it works on at once.
+    /// Number of requests that it runs at once.
     pub slots: usize,
-    /// It is about to end, and takes no new requests.
+    /// Whether it is shutting down and accepts no new requests.
     pub leaving: bool,
-    /// Until then it is cold, and bears few requests a second.
+    /// End of the cold period, during which it accepts few requests per second.
     #[serde(with = "crate::remaining")]
     pub cold_until: Option<Instant>,
 }
 
 impl Upstream {
-    /// True while it bears few requests a second.
+    /// Returns whether it is still cold.
     pub fn is_cold(&self, now: Instant) -> bool {
         self.cold_until.is_some_and(|until| now < until)
     }
--- a/crates/tinbank-relay/tests/attempt.rs
+++ b/crates/tinbank-relay/tests/attempt.rs
@@ -1,4 +1,4 @@
-//! When a request is sent again.
+//! Tests when a failed request is sent again.
 
 use proptest::prelude::*;
 use tinbank_relay::{
@@ -12,21 +12,21 @@
 const PLAIN_STREAM: Kind = Kind::Stream { resumable: false };
 
 #[parameterized(
-    once_not_run = { Kind::Once, 1, &[Failure::NotRun], Next::Again },
+    once_not_run = { Kind::Once, 1, &[Failure::NotRun], Next::Retry },
     once_unknown = { Kind::Once, 3, &[Failure::Unknown], Next::Fail },
     once_unknown_then_not_run = { Kind::Once, 3, &[Failure::NotRun, Failure::Unknown], Next::Fail },
-    idempotent_unknown = { Kind::Idempotent, 2, &[Failure::Unknown], Next::Again },
+    idempotent_unknown = { Kind::Idempotent, 2, &[Failure::Unknown], Next::Retry },
     idempotent_twice = { Kind::Idempotent, 2, &[Failure::Unknown, Failure::Unknown], Next::Fail },
-    idempotent_not_run_does_not_count = { Kind::Idempotent, 1, &[Failure::NotRun, Failure::NotRun], Next::Again },
-    resumable_unknown = { RESUMABLE, 2, &[Failure::Unknown], Next::Again },
+    idempotent_not_run_does_not_count = { Kind::Idempotent, 1, &[Failure::NotRun, Failure::NotRun], Next::Retry },
+    resumable_unknown = { RESUMABLE, 2, &[Failure::Unknown], Next::Retry },
     resumable_only_once = { RESUMABLE, 1, &[Failure::Unknown], Next::Fail },
     plain_stream_unknown = { PLAIN_STREAM, 2, &[Failure::Unknown], Next::Fail },
 )]
-fn what_comes_next(kind: Kind, max: u32, failures: &[Failure], next: Next) {
+fn retries_depend_on_kind_and_failures(kind: Kind, max: u32, failures: &[Failure], next: Next) {
     let mut attempts = Attempts::new(kind, max);
 
     for failure in failures {
-        attempts.note("u".into(), *failure);
+        attempts.record("u".into(), *failure);
     }
 
     assert_eq!(attempts.next(), next);
@@ -35,9 +35,9 @@
 proptest! {
     #![proptest_config(property::config(500))]
 
-    /// "Not run" is said only if no attempt may have run, and no request may run at more upstreams than allowed.
+    /// Guards against reporting "not run" for a request that may have run, and against more runs than the route allows.
     #[test]
-    fn a_refusal_is_true_and_attempts_are_bounded(
+    fn refusals_are_truthful_and_runs_are_bounded(
         idempotent in any::<bool>(),
         max in 1..5u32,
         failures in prop::collection::vec(any::<bool>(), 1..10),
@@ -47,11 +47,11 @@
         let mut may_have_run = 0;
 
         for unknown in failures {
-            if attempts.next() != Next::Again {
+            if attempts.next() != Next::Retry {
                 break;
             }
             let failure = if unknown { Failure::Unknown } else { Failure::NotRun };
-            attempts.note("u".into(), failure);
+            attempts.record("u".into(), failure);
             may_have_run += u32::from(unknown);
         }
 
--- a/crates/tinbank-relay/tests/caller_timeout.rs
+++ b/crates/tinbank-relay/tests/caller_timeout.rs
@@ -1,4 +1,4 @@
-//! Which requests are a caller's first try.
+//! Tests the distinction of first tries from retries.
 
 use std::time::Duration;
 
@@ -10,37 +10,37 @@
     Duration::from_secs_f32(seconds)
 }
 
-/// What is said of some requests in a row.
-fn judge(caller_timeout: &mut CallerTimeout, times: &[f32]) -> Vec<bool> {
+/// Returns the results for a sequence of requests with these times left.
+fn are_first_tries(caller_timeout: &mut CallerTimeout, times: &[f32]) -> Vec<bool> {
     let times = times.iter().map(|time| seconds(*time));
     times.map(|time| caller_timeout.is_first_try(time, LIMIT)).collect()
 }
 
 #[test]
-fn a_request_with_less_than_the_usual_time_came_before() {
+fn a_request_with_less_than_the_usual_time_is_a_retry() {
     let mut caller_timeout = CallerTimeout::default();
-    judge(&mut caller_timeout, &[5.0; 8]);
+    are_first_tries(&mut caller_timeout, &[5.0; 8]);
 
-    let judged = judge(&mut caller_timeout, &[5.0, 4.9, 4.7, 3.5, 5.0]);
+    let first_tries = are_first_tries(&mut caller_timeout, &[5.0, 4.9, 4.7, 3.5, 5.0]);
 
-    assert_eq!(judged, [true, true, false, false, true]);
+    assert_eq!(first_tries, [true, true, false, false, true]);
 }
 
 #[test]
-fn callers_that_wait_for_less_than_the_route_allows_are_learned() {
+fn a_caller_timeout_below_the_route_limit_is_learned() {
     let mut caller_timeout = CallerTimeout::default();
 
-    let judged = judge(&mut caller_timeout, &[5.0; 10]);
+    let first_tries = are_first_tries(&mut caller_timeout, &[5.0; 10]);
 
-    assert_eq!(judged[..7], [false; 7]);
-    assert_eq!(judged[7..], [true; 3]);
+    assert_eq!(first_tries[..7], [false; 7]);
+    assert_eq!(first_tries[7..], [true; 3]);
 }
 
 #[test]
-fn those_that_come_again_right_after_a_start_are_told_by_the_limit_of_the_route() {
+fn retries_right_after_a_restart_are_detected_by_the_route_limit() {
     let mut caller_timeout = CallerTimeout::default();
 
-    let judged = judge(&mut caller_timeout, &[6.5, 6.4, 8.0, 6.0]);
+    let first_tries = are_first_tries(&mut caller_timeout, &[6.5, 6.4, 8.0, 6.0]);
 
-    assert_eq!(judged, [false, false, true, false]);
+    assert_eq!(first_tries, [false, false, true, false]);
 }
--- a/crates/tinbank-relay/tests/evacuation.rs
+++ b/crates/tinbank-relay/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Failure domains that the operator evacuates.
+//! Tests which failure domains count as evacuated.
 
 use tinbank_relay::evacuation::{Change, Evacuations};
 
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn an_order_counts_until_it_is_withdrawn() {
+fn an_evacuation_order_applies_until_it_is_withdrawn() {
     let mut evacuations = evacuated(&["north"]);
 
     let again = evacuations.add("north".to_owned());
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn what_a_whole_list_does_not_name_is_withdrawn() {
+fn orders_missing_from_a_full_read_are_withdrawn() {
     let mut evacuations = evacuated(&["east", "north"]);
 
     let changes = evacuations.replace(["north".to_owned(), "south".to_owned()]);
--- a/crates/tinbank-relay/tests/listing.rs
+++ b/crates/tinbank-relay/tests/listing.rs
@@ -1,4 +1,4 @@
-//! Which missing upstreams count as gone, and when.
+//! Tests when an upstream whose entry is missing counts as gone.
 
 use std::{
     collections::BTreeMap,
@@ -8,14 +8,14 @@
 
 use proptest::prelude::*;
 use tinbank_relay::{
-    listing::{Change, LONGEST_PAUSE, Listing, RENEWAL_TIME},
+    listing::{Change, MAX_ANSWER_GAP, Listing, RENEWAL_TIME},
     upstream::Upstream,
 };
 use tinbank_test_support::property;
 use yare::parameterized;
 
-/// Time between two reads that are answered.
-const READ: Duration = Duration::from_millis(500);
+/// Time between two reads of the list.
+const READ_INTERVAL: Duration = Duration::from_millis(500);
 
 fn upstream(index: u8) -> Upstream {
     Upstream {
@@ -30,7 +30,7 @@
     }
 }
 
-/// A listing that has read some upstreams from a store that answers.
+/// Returns a listing of `upstreams` upstreams, read from a reachable store.
 fn listing(upstreams: u8, now: Instant) -> Listing {
     let mut listing = Listing::default();
     listing.record_store_answer(now);
@@ -47,16 +47,16 @@
     names
 }
 
-/// What happens to the store and the list.
+/// An event at the store or in the list.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// A read is answered, some time after the last step.
+    /// The store answers a read, this long after the last step.
     Answer(Duration),
-    /// A read fails.
+    /// A read fails, this long after the last step.
     Fail(Duration),
     Remove(u8),
     Add(u8),
-    /// The whole list is read, and names none.
+    /// A read of the whole list returns no entries.
     Empty,
 }
 
@@ -88,18 +88,18 @@
 }
 
 #[parameterized(
-    removed_in_calm = { &[Answer(SECOND), Remove(0)], &["u1"] },
-    lapsed_while_away = { &[Fail(SECOND), Answer(SECOND), Remove(0), Remove(1)], &["u0", "u1"] },
+    removed_while_available = { &[Answer(SECOND), Remove(0)], &["u1"] },
+    expired_during_outage = { &[Fail(SECOND), Answer(SECOND), Remove(0), Remove(1)], &["u0", "u1"] },
     still_missing_after_a_second = { &[Fail(SECOND), Answer(SECOND), Remove(0), Answer(SECOND)], &["u0", "u1"] },
-    missing_for_too_long = { &[Fail(SECOND), Answer(SECOND), Remove(0), Answer(SECOND), Answer(TWO)], &["u1"] },
-    back_in_time = { &[Fail(SECOND), Answer(SECOND), Remove(0), Answer(SECOND), Add(0), Answer(TWO)], &["u0", "u1"] },
-    away_again_within_the_time = { &[Fail(SECOND), Answer(SECOND), Remove(0), Fail(SECOND), Answer(RENEWAL_TIME)], &["u0", "u1"] },
-    removed_long_after_the_return = { &[Fail(SECOND), Answer(SECOND), Answer(TWO), Answer(SECOND), Remove(0)], &["u1"] },
-    silence_without_a_failure = { &[Answer(LONGEST_PAUSE + SECOND), Remove(0)], &["u0", "u1"] },
-    whole_list_after_an_outage = { &[Fail(SECOND), Answer(SECOND), Empty], &["u0", "u1"] },
-    whole_list_in_calm = { &[Answer(SECOND), Empty], &[] },
+    missing_longer_than_renewal_time = { &[Fail(SECOND), Answer(SECOND), Remove(0), Answer(SECOND), Answer(TWO)], &["u1"] },
+    listed_again_in_time = { &[Fail(SECOND), Answer(SECOND), Remove(0), Answer(SECOND), Add(0), Answer(TWO)], &["u0", "u1"] },
+    second_outage_within_renewal_time = { &[Fail(SECOND), Answer(SECOND), Remove(0), Fail(SECOND), Answer(RENEWAL_TIME)], &["u0", "u1"] },
+    removed_long_after_outage = { &[Fail(SECOND), Answer(SECOND), Answer(TWO), Answer(SECOND), Remove(0)], &["u1"] },
+    answer_gap_without_failure = { &[Answer(MAX_ANSWER_GAP + SECOND), Remove(0)], &["u0", "u1"] },
+    empty_list_after_outage = { &[Fail(SECOND), Answer(SECOND), Empty], &["u0", "u1"] },
+    empty_list_while_available = { &[Answer(SECOND), Empty], &[] },
 )]
-fn what_is_missing_is_gone_once_the_store_has_answered_for_long_enough(
+fn missing_upstreams_are_gone_only_after_the_renewal_time(
     steps: &[Step],
     expected: &[&str],
 ) {
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_missing_upstream_that_said_that_it_leaves_takes_no_requests() {
+fn a_missing_upstream_that_reported_leaving_accepts_no_requests() {
     let (mut listing, _) = play(&[Fail(SECOND), Answer(SECOND), Remove(0)]);
 
     listing.mark_leaving(&upstream(0).instance);
@@ -119,16 +119,16 @@
 }
 
 #[test]
-fn each_change_is_told_once_and_the_time_of_the_next_is_known() {
+fn changes_are_reported_once_and_missing_upstreams_expire_on_time() {
     let (mut listing, now) = play(&[Fail(SECOND), Answer(SECOND)]);
     let gone = upstream(0).instance;
 
     let first = listing.remove(&gone, now);
     let second = listing.remove(&gone, now);
-    let missing_expire_at = listing.missing_expire_at().unwrap();
-    let early = listing.expire_missing(now + READ);
-    let settled = listing.expire_missing(missing_expire_at);
-    let again = listing.expire_missing(missing_expire_at + READ);
+    let expires_at = listing.missing_expire_at().unwrap();
+    let early = listing.expire_missing(now + READ_INTERVAL);
+    let settled = listing.expire_missing(expires_at);
+    let again = listing.expire_missing(expires_at + READ_INTERVAL);
 
     assert_eq!(first, Some(Change::Missing(gone.clone())));
     assert_eq!(second, None);
@@ -141,49 +141,49 @@
 proptest! {
     #![proptest_config(property::config(400))]
 
-    /// A naive version: an upstream counts as there if it is listed, or was taken off after the last failure and less than
-    /// the time for renewals after the answer that followed it, or before that answer.
+    /// Reference model: an upstream is present if it is listed, or if its entry was removed during the last outage or less
+    /// than the renewal time after it.
     #[test]
-    fn an_upstream_serves_as_in_a_naive_version(steps in prop::collection::vec((0u8..6, 0u8..2), 1..60)) {
+    fn serving_upstreams_match_the_reference_model(steps in prop::collection::vec((0u8..6, 0u8..2), 1..60)) {
         let mut now = Instant::now();
         let mut listing = listing(2, now);
         let mut listed = BTreeMap::from([(0u8, true), (1, true)]);
         let mut missing: BTreeMap<u8, bool> = BTreeMap::new();
         let mut returned_at: Option<Instant> = None;
-        let mut is_away = false;
+        let mut is_unavailable = false;
         for (what, index) in steps {
-            now += READ;
+            now += READ_INTERVAL;
             match what {
                 0..=2 => {
-                    if std::mem::take(&mut is_away) {
+                    if std::mem::take(&mut is_unavailable) {
                         returned_at = Some(now);
                     }
                     listing.record_store_answer(now);
                 }
                 3 => {
-                    is_away = true;
+                    is_unavailable = true;
                     listing.record_store_failure();
                 }
-                4 if !is_away => {
+                4 if !is_unavailable => {
                     let was_listed = listed.insert(index, false) == Some(true);
-                    let doubtful = returned_at.is_some_and(|at| now < at + RENEWAL_TIME);
-                    if was_listed && doubtful {
+                    let is_unreliable = returned_at.is_some_and(|at| now < at + RENEWAL_TIME);
+                    if was_listed && is_unreliable {
                         missing.insert(index, true);
                     }
                     listing.remove(&upstream(index).instance, now);
                 }
-                5 if !is_away => {
+                5 if !is_unavailable => {
                     listed.insert(index, true);
                     missing.remove(&index);
                     listing.add(upstream(index));
                 }
                 _ => {}
             }
-            // Reads are answered all the time while the store is there.
-            if !is_away {
+            // A reachable store answers reads without a gap.
+            if !is_unavailable {
                 listing.record_store_answer(now);
             }
-            if !is_away && returned_at.is_none_or(|at| now >= at + RENEWAL_TIME) {
+            if !is_unavailable && returned_at.is_none_or(|at| now >= at + RENEWAL_TIME) {
                 missing.clear();
             }
             listing.expire_missing(now);
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn what_another_host_tells_counts_at_once() {
+fn a_snapshot_from_another_host_applies_at_once() {
     let now = Instant::now();
     let mut listing = listing(3, now);
 
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn an_upstream_that_was_heard_to_leave_does_not_come_back_by_hearsay() {
+fn a_snapshot_does_not_reinstate_an_upstream_that_reported_leaving_here() {
     let now = Instant::now();
     let mut listing = listing(2, now);
     listing.mark_leaving(&"u1".into());
@@ -222,20 +222,20 @@
 }
 
 #[test]
-fn upstreams_that_leave_are_told_as_well() {
+fn a_snapshot_includes_leaving_upstreams() {
     let now = Instant::now();
-    let mut teller = listing(2, now);
-    teller.mark_leaving(&"u1".into());
-    let mut told = Listing::default();
+    let mut sender = listing(2, now);
+    sender.mark_leaving(&"u1".into());
+    let mut receiver = Listing::default();
 
-    told.apply_snapshot(teller.present().cloned().collect());
+    receiver.apply_snapshot(sender.present().cloned().collect());
 
-    assert_eq!(serving(&told), ["u0"]);
-    assert!(told.is_leaving(&"u1".into()));
+    assert_eq!(serving(&receiver), ["u0"]);
+    assert!(receiver.is_leaving(&"u1".into()));
 }
 
-/// A later start of an upstream.
-fn reborn(index: u8) -> Upstream {
+/// Returns a later instance of an upstream.
+fn restarted(index: u8) -> Upstream {
     Upstream {
         instance: format!("u{index}@2").into(),
         ..upstream(index)
@@ -243,25 +243,25 @@
 }
 
 #[test]
-fn an_upstream_that_starts_again_under_its_name_is_another_one() {
+fn a_restarted_upstream_replaces_the_previous_instance() {
     let now = Instant::now();
     let mut listing = listing(2, now);
     listing.mark_leaving(&"u0".into());
 
-    let changes = listing.add(reborn(0));
+    let changes = listing.add(restarted(0));
 
     let gone = Change::Gone("u0".into());
-    assert_eq!(changes.as_slice(), [gone, Change::Listed(reborn(0))]);
+    assert_eq!(changes.as_slice(), [gone, Change::Listed(restarted(0))]);
     assert_eq!(serving(&listing), ["u0@2", "u1"]);
     assert!(listing.is_leaving(&"u0".into()));
     assert!(!listing.is_leaving(&"u0@2".into()));
 }
 
 #[test]
-fn what_is_taken_off_under_a_name_is_its_last_start() {
+fn removing_a_name_removes_its_latest_instance() {
     let now = Instant::now();
     let mut listing = listing(2, now);
-    listing.add(reborn(0));
+    listing.add(restarted(0));
 
     let change = listing.remove(&"u0".into(), now);
 
@@ -270,34 +270,34 @@
 }
 
 #[test]
-fn a_whole_list_and_what_another_host_tells_replace_a_start_by_a_later_one() {
+fn full_reads_and_snapshots_replace_an_instance_by_a_later_one() {
     let now = Instant::now();
-    let (mut read, mut told) = (listing(2, now), listing(2, now));
-    told.mark_leaving(&"u0".into());
+    let (mut read, mut received) = (listing(2, now), listing(2, now));
+    received.mark_leaving(&"u0".into());
 
-    read.replace(vec![reborn(0), upstream(1)], now);
-    told.apply_snapshot(vec![reborn(0), upstream(1)]);
+    read.replace(vec![restarted(0), upstream(1)], now);
+    received.apply_snapshot(vec![restarted(0), upstream(1)]);
 
     assert_eq!(serving(&read), ["u0@2", "u1"]);
-    assert_eq!(serving(&told), ["u0@2", "u1"]);
+    assert_eq!(serving(&received), ["u0@2", "u1"]);
 }
 
 #[test]
-fn a_follower_takes_in_what_changed_and_keeps_the_rest() {
+fn an_update_changes_only_the_named_upstreams() {
     let mut listing = Listing::default();
     listing.apply_snapshot(vec![upstream(0), upstream(1), upstream(2)]);
     listing.mark_leaving(&"u1".into());
 
     let changes = listing.apply_update(vec![upstream(1), upstream(3)], vec!["u0".into()]);
 
-    // What was heard to leave here does not come back by what another host knows.
+    // u1 reported to this host that it is leaving, so the update does not reinstate it.
     assert_eq!(serving(&listing), ["u2", "u3"]);
     assert!(listing.is_leaving(&"u0".into()));
     assert_eq!(changes.len(), 2);
 }
 
 #[test]
-fn what_is_of_other_failure_domains_is_unknown_and_not_gone_once_it_is_not_heard_of_any_more() {
+fn dropped_upstreams_of_other_failure_domains_are_unknown_rather_than_gone() {
     let mut listing = Listing::default();
     let far = Upstream {
         failure_domain: "south".to_owned(),
--- a/crates/tinbank-relay/tests/route.rs
+++ b/crates/tinbank-relay/tests/route.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes, and which service.
+//! Tests the selection of routes and services.
 
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
@@ -48,14 +48,14 @@
 }
 
 #[parameterized(
-    the_only_one = { "one.example", "/p/x", Some("short") },
-    the_longest = { "one.example", "/p/q/x", Some("long") },
-    prefix_ends_with_a_slash = { "one.example", "/p/qx", Some("short") },
+    single_match = { "one.example", "/p/x", Some("short") },
+    longest_prefix = { "one.example", "/p/q/x", Some("long") },
+    partial_segment = { "one.example", "/p/qx", Some("short") },
     other_host = { "two.example", "/p/q/x", Some("other") },
-    no_host = { "three.example", "/p/x", None },
-    no_prefix = { "one.example", "/x", None },
+    unknown_host = { "three.example", "/p/x", None },
+    unknown_path = { "one.example", "/x", None },
 )]
-fn a_request_takes_the_longest_prefix_of_its_host(host: &str, path: &str, name: Option<&str>) {
+fn a_request_takes_the_route_with_the_longest_prefix_on_its_host(host: &str, path: &str, name: Option<&str>) {
     let config = config();
 
     let route = config.route(host, path);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn services_are_drawn_by_their_weights() {
+fn services_are_chosen_in_proportion_to_their_weights() {
     let route = route("r", "h", "/");
     let mut counts = BTreeMap::new();
 
