--- a/crates/tinbank-gateway/src/batch/runner.rs
+++ b/crates/tinbank-gateway/src/batch/runner.rs
@@ -24,7 +24,7 @@
     border::engine::{self, Request, Sender},
     identity, measure,
     node::Node,
-    sharing::{Allocation, Lease, SlotRequest},
+    sharing::{Allocation, Lease, SlotSpec},
 };
 
 /// Pause when there is nothing to run, or no slot for it. Source: the time in which a slot is likely to come free.
@@ -185,7 +185,7 @@
             time::sleep(PAUSE).await;
             continue;
         };
-        let wanted = SlotRequest {
+        let wanted = SlotSpec {
             class: Class::Batch(next::lease_due(candidate.due)),
             service: &candidate.service,
             exclude: &candidate.avoid,
--- a/crates/tinbank-gateway/src/feed.rs
+++ b/crates/tinbank-gateway/src/feed.rs
@@ -127,7 +127,7 @@
         if self.has_hosts.replace(true) {
             return self.look(sharing, now);
         }
-        let in_place = sharing.is_delegate(now);
+        let in_place = sharing.is_selected_as_delegate(now);
         self.is_first.set(sharing.is_allocator(now));
         self.is_small.set(sharing.host_count() <= SMALL);
         self.delegation.borrow_mut().begin(in_place);
@@ -137,7 +137,7 @@
 
     /// Takes in which hosts are silent now.
     pub fn look(&self, sharing: &Sharing, now: Instant) {
-        let in_place = sharing.is_delegate(now);
+        let in_place = sharing.is_selected_as_delegate(now);
         if self.delegation.borrow_mut().place(in_place, now) {
             log::info!(delegate = in_place; "duty of this host changes");
             self.changed.notify_waiters();
--- a/crates/tinbank-gateway/src/relay/online.rs
+++ b/crates/tinbank-gateway/src/relay/online.rs
@@ -34,7 +34,7 @@
     clock::Moment,
     measure,
     node::Node,
-    sharing::{Allocation, Lease, SlotRequest},
+    sharing::{Allocation, Lease, SlotSpec},
 };
 
 /// Attempts that did not run, after which a request is refused.
@@ -219,7 +219,7 @@
     /// A slot at an upstream of a service, or what to tell the caller.
     async fn lease(&mut self, service: &str) -> Result<Lease, Next> {
         let queue = self.queue();
-        let wanted = SlotRequest {
+        let wanted = SlotSpec {
             class: Class::Online,
             service,
             exclude: self.attempts.tried(),
--- a/crates/tinbank-gateway/src/sharing.rs
+++ b/crates/tinbank-gateway/src/sharing.rs
@@ -72,7 +72,7 @@
 
 /// What a slot is asked for.
 #[derive(Clone, Debug)]
-pub(crate) struct SlotRequest<'a> {
+pub(crate) struct SlotSpec<'a> {
     pub class: Class,
     pub service: &'a str,
     /// Upstreams that the request must not get.
@@ -200,7 +200,7 @@
     }
 
     /// True if this host is among the delegates of its failure domain, by the list of hosts and who is silent.
-    pub fn is_delegate(&self, now: Instant) -> bool {
+    pub fn is_selected_as_delegate(&self, now: Instant) -> bool {
         let state = self.state.borrow();
         let delegates = state.directory.delegates(&self.own.failure_domain, now);
         delegates.iter().any(|it| it.address == self.own.address)
--- a/crates/tinbank-gateway/src/sharing/ask.rs
+++ b/crates/tinbank-gateway/src/sharing/ask.rs
@@ -16,7 +16,7 @@
 };
 use tinbank_base::id;
 
-use super::{Allocation, Lease, Sharing, SlotRequest, pending::Pending};
+use super::{Allocation, Lease, Sharing, SlotSpec, pending::Pending};
 use crate::{measure, node::Node};
 
 /// Grants of leaving upstreams after which a failure domain counts as having none.
@@ -41,7 +41,7 @@
     /// Asks the own failure domain, then the others, for a slot that is free. If there is none, an online request waits at
     /// the first allocator that expects to have one in time, or inside an upstream if it may. Where no allocator answers, it
     /// gets an upstream of this host's own choice.
-    pub async fn lease(self: &Rc<Self>, node: &Node, wanted: &SlotRequest<'_>) -> Allocation {
+    pub async fn lease(self: &Rc<Self>, node: &Node, wanted: &SlotSpec<'_>) -> Allocation {
         let turn = self.next.get();
         let own = &self.own.failure_domain;
         let mut domains = self.state.borrow().directory.failure_domains(own, turn);
@@ -96,7 +96,7 @@
     async fn ask(
         self: &Rc<Self>,
         node: &Node,
-        wanted: &SlotRequest<'_>,
+        wanted: &SlotSpec<'_>,
         domain: &str,
         queue: Queue,
     ) -> Answered {
@@ -122,7 +122,7 @@
     /// Asks the allocator of a failure domain once, and waits there if it says that a slot is likely to come free in time.
     async fn ask_once(
         self: &Rc<Self>,
-        wanted: &SlotRequest<'_>,
+        wanted: &SlotSpec<'_>,
         domain: &str,
         queue: Queue,
     ) -> Answered {
@@ -174,7 +174,7 @@
     }
 
     /// The upstream at which this host has the fewest requests, where no allocator answers.
-    fn choose(self: &Rc<Self>, node: &Node, wanted: &SlotRequest<'_>) -> Option<Lease> {
+    fn choose(self: &Rc<Self>, node: &Node, wanted: &SlotSpec<'_>) -> Option<Lease> {
         let now = Instant::now();
         let avoided = self.avoided(now);
         let mut fit = node.view.upstreams(wanted.service);
@@ -204,7 +204,7 @@
     }
 }
 
-fn log_over_limit(wanted: &SlotRequest<'_>, allocator: SocketAddr, over: OverLimit) {
+fn log_over_limit(wanted: &SlotSpec<'_>, allocator: SocketAddr, over: OverLimit) {
     let Some(meter) = wanted.meter else {
         return;
     };
--- a/crates/tinbank-gateway/src/sharing/ask/tests.rs
+++ b/crates/tinbank-gateway/src/sharing/ask/tests.rs
@@ -11,7 +11,7 @@
 use tokio::{net::UdpSocket, task, time};
 
 use super::Answered;
-use crate::sharing::{Sharing, SlotRequest, receive};
+use crate::sharing::{Sharing, SlotSpec, receive};
 
 /// Long enough for a datagram to a host on the same machine.
 const SHORT: Duration = Duration::from_millis(60);
@@ -104,7 +104,7 @@
 fn asks(setting: &Setting, queue: Queue) -> task::JoinHandle<Answered> {
     let sharing = Rc::clone(&setting.sharing);
     task::spawn_local(async move {
-        let wanted = SlotRequest {
+        let wanted = SlotSpec {
             class: Class::Online,
             service: "notes",
             exclude: &[],
