--- a/crates/tinbank-gateway/src/relay/attempt.rs
+++ b/crates/tinbank-gateway/src/relay/attempt.rs
@@ -71,7 +71,7 @@
         lease.address,
         node.engine.encode(request, attempt),
         Until {
-            connected: now + CONNECT_TIMEOUT.max(lease.patience()),
+            connected: now + CONNECT_TIMEOUT.max(lease.round_trip_timeout()),
             answered: until,
         },
     );
--- a/crates/tinbank-gateway/src/relay/online.rs
+++ b/crates/tinbank-gateway/src/relay/online.rs
@@ -16,7 +16,7 @@
     attempt::{Attempts, Failure, Next},
     event,
     route::{Kind, Route},
-    silence::ResponseTimeout,
+    silence::AttemptTimeout,
 };
 
 use super::{
@@ -219,7 +219,7 @@
     /// A slot at an upstream of a service, or what to tell the caller.
     async fn lease(&mut self, service: &str) -> Result<Lease, Next> {
         let queue = self.queue();
-        let wanted = SlotSpec {
+        let spec = SlotSpec {
             class: Class::Online,
             service,
             exclude: self.attempts.tried(),
@@ -227,7 +227,7 @@
             rank: self.rank,
             meter: self.meter.as_ref(),
         };
-        match self.node.sharing.lease(&self.node, &wanted).await {
+        match self.node.sharing.lease(&self.node, &spec).await {
             Allocation::Granted(lease) => {
                 // Further attempts are of the same request.
                 self.meter = None;
@@ -254,7 +254,7 @@
             customer:% = self.customer.as_deref().unwrap_or_default(),
             config = view.config().map_or(0, |config| config.version),
             upstream:% = lease.upstream,
-            allocator:% = lease.chosen_by(),
+            allocator:% = lease.granted_by(),
             list_age_ms = view.upstreams_age(now).map_or(0, |age| age.as_millis() as u64),
             queued = lease.queued,
             late = self.admission.is_late,
@@ -297,7 +297,7 @@
         if !another {
             return self.admission.deadline;
         }
-        let timeout = ResponseTimeout {
+        let timeout = AttemptTimeout {
             target: self.route.target_latency,
             is_queued,
             is_late: self.admission.is_late,
--- a/crates/tinbank-gateway/src/sharing.rs
+++ b/crates/tinbank-gateway/src/sharing.rs
@@ -1,5 +1,7 @@
-//! Shares the upstreams with other hosts: asks allocators for slots, and is the allocator of its own failure domain for
-//! those that ask it.
+//! Sharing of the upstreams' slots between hosts.
+//!
+//! Each failure domain has an allocator, which runs on one of its hosts and grants slots. This module requests slots from the
+//! allocators and runs the allocator of the host's own failure domain.
 
 mod ask;
 mod counts;
@@ -41,106 +43,106 @@
     load_poll::poll_upstream_load,
 };
 
-/// A host reaches the store if it has read it at most this long ago. Source: the longest time between two reads that are
-/// answered, twice.
-const STORE_AGE: Duration = Duration::from_millis(1_000);
-/// The process's part in sharing the upstreams.
+/// Age of the last read of the store up to which the store counts as reachable: twice the longest time between two
+/// answered reads.
+const MAX_STORE_AGE: Duration = Duration::from_millis(1_000);
+
+/// This host's side of the slot protocol.
 pub(crate) struct Sharing {
     socket: UdpSocket,
     own: Peer,
     state: RefCell<State>,
-    next: Cell<lease::Id>,
-    /// Told when the allocator of this host begins to learn.
+    next_lease_id: Cell<lease::Id>,
+    /// Notified when this host's allocator starts to collect the leases of other hosts.
     learning: Notify,
-    /// When this host last read the store.
     store_read_at: Cell<Option<Instant>>,
 }
 
 struct State {
     allocator: Allocator,
     directory: Directory,
-    asks: HashMap<lease::Id, mpsc::UnboundedSender<Verdict>>,
-    held: HashMap<lease::Id, held::Holding>,
-    /// Allocators that were sent a heartbeat and have not answered.
-    unheard: HashSet<SocketAddr>,
+    /// Slot requests without a final verdict.
+    pending: HashMap<lease::Id, mpsc::UnboundedSender<Verdict>>,
+    holdings: HashMap<lease::Id, held::Holding>,
+    /// Hosts that have not answered the last heartbeat.
+    awaiting_reply: HashSet<SocketAddr>,
     avoidance: Avoidance,
-    /// Allocators that said that they reach the store, and when.
-    with_store: HashMap<SocketAddr, Instant>,
-    /// What this host lets in of customers while it reaches no allocator.
-    part: Part,
+    /// Hosts that reported that they reach the store, and when.
+    store_reachable_at: HashMap<SocketAddr, Instant>,
+    /// Limits the customers' requests while no allocator answers.
+    fallback: Part,
 }
 
-/// What a slot is asked for.
+/// Requirements for a slot.
 #[derive(Clone, Debug)]
 pub(crate) struct SlotSpec<'a> {
     pub class: Class,
     pub service: &'a str,
-    /// Upstreams that the request must not get.
+    /// Upstreams that must not be granted.
     pub exclude: &'a [id::Instance],
-    /// Whether an online request may wait inside an upstream.
+    /// Whether the request may wait for a slot, and where.
     pub queue: Queue,
-    /// Rank among online requests that wait; 0 is the highest.
+    /// Priority among waiting online requests; 0 is the highest.
     pub rank: u8,
-    /// Whose allowance it is counted against, unless it was counted before.
+    /// The allowance that the request counts against; `None` if it was counted before.
     pub meter: Option<&'a Meter>,
 }
 
-/// What came of asking for a slot.
+/// Result of a slot request.
 pub(crate) enum Allocation {
-    /// There is one.
     Granted(Lease),
     /// All slots are in use, and the request may not wait.
     Full,
-    /// Its customer has used up its allowance, and may come again after this time.
+    /// The customer has used up its allowance and may retry after this time.
     OverLimit(Duration),
     /// No upstream of the service is known.
     NoUpstream,
 }
 
 impl Sharing {
-    /// Takes datagrams at the address of `own`.
+    /// Binds the socket for datagrams to the address of `own`.
     pub async fn bind(own: Peer, seed: u64, tolerance: Tolerance) -> std::io::Result<Self> {
         let socket = UdpSocket::bind(own.address).await?;
         let state = State {
             allocator: Allocator::new(seed, tolerance),
             directory: Directory::default(),
-            asks: HashMap::new(),
-            held: HashMap::new(),
-            unheard: HashSet::new(),
+            pending: HashMap::new(),
+            holdings: HashMap::new(),
+            awaiting_reply: HashSet::new(),
             avoidance: Avoidance::default(),
-            with_store: HashMap::new(),
-            part: Part::new(seed, tolerance),
+            store_reachable_at: HashMap::new(),
+            fallback: Part::new(seed, tolerance),
         };
-        // Lease numbers of a later start are larger, so that its holdings end the leases of an earlier one.
+        // Lease ids increase over restarts, so that the holdings of this process end the leases of the previous one.
         let since_1970 = std::time::SystemTime::UNIX_EPOCH.elapsed();
         let first = since_1970.map_or(0, |it| it.as_micros() as u64);
         Ok(Self {
             socket,
             own,
             state: RefCell::new(state),
-            next: Cell::new(first),
+            next_lease_id: Cell::new(first),
             learning: Notify::new(),
             store_read_at: Cell::new(None),
         })
     }
 
-    /// This host as others see it.
+    /// Returns this host as listed for other hosts.
     pub fn own(&self) -> &Peer {
         &self.own
     }
 
-    /// Takes in the upstreams of the own failure domain.
+    /// Sets the upstreams of the host's own failure domain.
     pub fn set_upstreams(&self, upstreams: Vec<Upstream>) {
         let out = self.state.borrow_mut().allocator.list(upstreams);
         self.send_all(out);
     }
 
-    /// True if the allocator deals out fewer upstreams than it was told of: others have said that some leave.
+    /// Returns whether the allocator has removed listed upstreams because other hosts reported that they are leaving.
     pub fn lacks_upstreams(&self) -> bool {
         self.state.borrow().allocator.lacks_upstreams()
     }
 
-    /// Takes in the list of hosts.
+    /// Sets the listed hosts.
     pub fn set_hosts(&self, mut peers: Vec<Peer>) {
         peers.retain(|peer| peer.address != self.own.address);
         peers.push(self.own.clone());
@@ -153,60 +155,60 @@
         state.allocator.hosts(hosts, now);
         drop(state);
         if before != after {
-            log::info!(before:?, after:?; "allocators by the list of hosts");
-            // A new one has to know what is held before it is asked.
-            self.tell_holdings(now);
+            log::info!(before:?, after:?; "allocators changed by the list of hosts");
+            // A new allocator has to know the leases before it gets slot requests.
+            self.send_holdings(now);
         }
     }
 
-    /// Number of hosts that are listed.
+    /// Returns the number of listed hosts.
     pub fn host_count(&self) -> usize {
         self.state.borrow().directory.hosts()
     }
 
-    /// Forgets what the allocator believes, after a pause of the process.
+    /// Discards state that may be outdated after the process was suspended.
     pub fn reset_after_pause(&self, now: Instant) {
         let mut state = self.state.borrow_mut();
         state.allocator.forget(now);
-        state.unheard.clear();
+        state.awaiting_reply.clear();
         self.store_read_at.set(None);
         self.learning.notify_one();
     }
 
-    /// How long another host may take to answer, by how far away it is.
-    fn patience(&self, host: SocketAddr) -> Duration {
+    /// Returns the response timeout of another host, which depends on its distance.
+    fn response_timeout(&self, host: SocketAddr) -> Duration {
         self.state.borrow().directory.patience(host)
     }
 
-    /// This host has read the store to its end.
+    /// Records that this host has read the store to its end.
     pub fn record_store_read(&self, now: Instant) {
         self.store_read_at.set(Some(now));
     }
 
-    /// This host follows the log of jobs no more; others pass no calls about jobs on to it.
+    /// Records that this host no longer follows the job log, so that other hosts forward no job calls to it.
     pub fn clear_store_read(&self) {
         self.store_read_at.set(None);
     }
 
-    /// True if this host has read the store to its end at most `age` ago.
+    /// Returns whether this host read the store to its end less than `age` ago.
     pub fn has_read_store(&self, age: Duration, now: Instant) -> bool {
         let read_at = self.store_read_at.get();
         read_at.is_some_and(|at| now < at + age)
     }
 
-    /// True if this host has read the store a moment ago.
+    /// Returns whether this host reaches the store, by its latest read.
     pub fn reaches_store(&self, now: Instant) -> bool {
-        self.has_read_store(STORE_AGE, now)
+        self.has_read_store(MAX_STORE_AGE, now)
     }
 
-    /// True if this host is among the delegates of its failure domain, by the list of hosts and who is silent.
+    /// Returns whether this host is selected as a delegate of its failure domain, by the listed and responsive hosts.
     pub fn is_selected_as_delegate(&self, now: Instant) -> bool {
         let state = self.state.borrow();
         let delegates = state.directory.delegates(&self.own.failure_domain, now);
         delegates.iter().any(|it| it.address == self.own.address)
     }
 
-    /// True if this host is the allocator of its failure domain, by the list of hosts and who is silent.
+    /// Returns whether this host is the allocator of its failure domain, by the listed and responsive hosts.
     pub fn is_allocator(&self, now: Instant) -> bool {
         let state = self.state.borrow();
         state.directory.allocator(&self.own.failure_domain, now) == Some(self.own.address)
@@ -220,7 +222,7 @@
         }
     }
 
-    /// The delegates that this host may follow.
+    /// Returns the delegates that this host may follow.
     pub fn delegate_candidates(&self, now: Instant) -> Candidates {
         source::candidates(&self.state.borrow().directory, &self.own, now)
     }
@@ -231,60 +233,60 @@
         }
     }
 
-    /// Where another host takes calls that reaches the store, by its last heartbeat.
+    /// Returns the caller address of a host that reaches the store according to its last heartbeat.
     pub fn host_with_store(&self, now: Instant) -> Option<SocketAddr> {
         self.hosts_with_store("", now).first().copied()
     }
 
-    /// Where other hosts take calls that reach the store, by their last heartbeats: those of the own failure domain first,
-    /// and among them the same ones for the calls about one job, which keep what they read of it.
+    /// Returns the caller addresses of hosts that reach the store according to their last heartbeats. Hosts of the own failure
+    /// domain come first. The order is stable for each job, since hosts cache what they read of it.
     pub fn hosts_with_store(&self, job: &str, now: Instant) -> SmallVec<[SocketAddr; 8]> {
         let state = self.state.borrow();
-        let with_store = state.with_store.iter();
-        let fresh = with_store.filter(|(_, at)| now < **at + HEARTBEAT + STORE_AGE);
+        let reports = state.store_reachable_at.iter();
+        let fresh = reports.filter(|(_, at)| now < **at + HEARTBEAT + MAX_STORE_AGE);
         let peers = fresh.filter_map(|(address, _)| state.directory.peer(*address));
         let mut peers: SmallVec<[&Peer; 8]> = peers.collect();
         peers.sort_by_cached_key(|peer| {
             let is_far = peer.failure_domain != self.own.failure_domain;
-            (is_far, hash(&(job, peer.address)))
+            (is_far, stable_hash(&(job, peer.address)))
         });
         peers.into_iter().map(|peer| peer.callers).collect()
     }
 
-    /// The upstreams of which the allocator of this host does not know whether they are free of requests of lost hosts.
-    fn unsettled(&self) -> Vec<Upstream> {
+    /// Returns the upstreams that may still run requests of failed hosts.
+    fn upstreams_to_poll(&self) -> Vec<Upstream> {
         let state = self.state.borrow();
         state.allocator.unsettled().cloned().collect()
     }
 
-    /// Takes in how many requests an upstream says that it has.
-    fn reported(&self, upstream: &id::Instance, requests: usize, now: Instant) {
+    /// Records the number of requests that an upstream reported.
+    fn record_load(&self, upstream: &id::Instance, requests: usize, now: Instant) {
         let mut state = self.state.borrow_mut();
         let out = state.allocator.reported(upstream, requests, now);
         drop(state);
         self.send_all(out);
     }
 
-    /// No more upstreams are asked for their load.
-    fn settle(&self) {
+    /// Stops accounting for requests of failed hosts.
+    fn clear_orphaned(&self) {
         self.state.borrow_mut().allocator.settle();
     }
 
-    fn needs_reports(&self, now: Instant) -> bool {
+    fn needs_load_reports(&self, now: Instant) -> bool {
         self.state.borrow().allocator.needs_reports(now)
     }
 
-    fn avoided(&self, now: Instant) -> SmallVec<[id::Instance; 4]> {
+    fn avoided_upstreams(&self, now: Instant) -> SmallVec<[id::Instance; 4]> {
         self.state.borrow_mut().avoidance.upstreams(now)
     }
 
-    fn next_lease(&self) -> lease::Id {
-        let id = self.next.get();
-        self.next.set(id + 1);
+    fn new_lease_id(&self) -> lease::Id {
+        let id = self.next_lease_id.get();
+        self.next_lease_id.set(id + 1);
         id
     }
 
-    /// Sends a frame; what is meant for this host itself does not go over the network.
+    /// Sends a frame. A frame to this host itself is handled directly.
     fn send(&self, to: SocketAddr, frame: &Frame) {
         if to == self.own.address {
             self.receive(to, frame.clone());
@@ -293,20 +295,20 @@
         let bytes = match frame.encode() {
             Ok(bytes) => bytes,
             Err(error) => {
-                log::error!(error:%; "datagram can't be encoded");
+                log::error!(error:%; "datagram cannot be encoded");
                 return;
             }
         };
-        // A datagram that can't be sent is one more that is lost; the protocol bears that.
+        // The protocol tolerates lost datagrams.
         if let Err(error) = self.socket.try_send_to(&bytes, to) {
             log::debug!(peer:% = to, error:%; "datagram not sent");
         }
     }
 }
 
-/// A number by which choices fall evenly, the same at each start.
-fn hash(of: &impl Hash) -> u64 {
+/// Returns a hash that is the same in all processes.
+fn stable_hash(value: &impl Hash) -> u64 {
     let mut hasher = SipHasher13::new();
-    of.hash(&mut hasher);
+    value.hash(&mut hasher);
     hasher.finish()
 }
--- a/crates/tinbank-gateway/src/sharing/ask.rs
+++ b/crates/tinbank-gateway/src/sharing/ask.rs
@@ -1,4 +1,4 @@
-//! Asks allocators for slots.
+//! Slot requests to allocators.
 
 #[cfg(test)]
 mod tests;
@@ -19,193 +19,196 @@
 use super::{Allocation, Lease, Sharing, SlotSpec, pending::Pending};
 use crate::{measure, node::Node};
 
-/// Grants of leaving upstreams after which a failure domain counts as having none.
-const MAX_LEAVING: usize = 4;
+/// Number of granted upstreams that turn out to be leaving after which the failure domain counts as full.
+const MAX_LEAVING_GRANTS: usize = 4;
 
-/// When a caller may come again whose customer's part at a host without an allocator is used up. Source: the balancer passes
-/// it to another host, which most likely has one.
-const OWN_PART_RETRY: Duration = Duration::from_millis(200);
+/// Time after which a caller may retry if this host reaches no allocator and the customer's share at this host is used up.
+/// Short, since the load balancer most likely picks a host that reaches an allocator.
+const FALLBACK_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// What came of asking one allocator.
-enum Answered {
+/// Result of a request to one allocator.
+enum SlotResult {
     Granted(Lease),
     Denied,
-    /// Its customer has used up its allowance, and may come again after this time.
+    /// The customer has used up its allowance and may retry after this time.
     OverLimit(Duration),
-    /// The request has waited for a slot for as long as it may.
-    TimeUp,
-    Silent,
+    /// No slot became free within the time that the request may wait.
+    WaitExpired,
+    /// The allocator did not answer.
+    Unresponsive,
 }
 
 impl Sharing {
-    /// Asks the own failure domain, then the others, for a slot that is free. If there is none, an online request waits at
-    /// the first allocator that expects to have one in time, or inside an upstream if it may. Where no allocator answers, it
-    /// gets an upstream of this host's own choice.
-    pub async fn lease(self: &Rc<Self>, node: &Node, wanted: &SlotSpec<'_>) -> Allocation {
-        let turn = self.next.get();
+    /// Requests a free slot from the host's own failure domain, then from the others. If there is none, an online request
+    /// waits at the first allocator that expects to have one in time, or inside an upstream if it may. If no allocator
+    /// answers, this host chooses an upstream itself.
+    pub async fn lease(self: &Rc<Self>, node: &Node, spec: &SlotSpec<'_>) -> Allocation {
+        let turn = self.next_lease_id.get();
         let own = &self.own.failure_domain;
         let mut domains = self.state.borrow().directory.failure_domains(own, turn);
         domains.retain(|domain| !node.view.is_evacuated(domain));
-        let queues: &[Queue] = match wanted.queue {
+        let queues: &[Queue] = match spec.queue {
             Queue::No => &[Queue::No],
             queue => &[Queue::No, queue],
         };
         let mut denied = false;
         for queue in queues {
             for domain in &domains {
-                match self.ask(node, wanted, domain, *queue).await {
-                    Answered::Granted(lease) => return Allocation::Granted(lease),
-                    Answered::Denied => denied = true,
-                    Answered::OverLimit(returns_in) => return Allocation::OverLimit(returns_in),
-                    Answered::TimeUp => return Allocation::Full,
-                    Answered::Silent => {}
+                match self.request_slot(node, spec, domain, *queue).await {
+                    SlotResult::Granted(lease) => return Allocation::Granted(lease),
+                    SlotResult::Denied => denied = true,
+                    SlotResult::OverLimit(returns_in) => return Allocation::OverLimit(returns_in),
+                    SlotResult::WaitExpired => return Allocation::Full,
+                    SlotResult::Unresponsive => {}
                 }
             }
         }
-        if wanted.class.is_batch() {
+        if spec.class.is_batch() {
             return Allocation::Full;
         }
-        // Those of other failure domains are known to their allocators only.
-        let is_known = node.view.is_narrow() || node.view.has_upstream_beside(wanted.service, &[]);
-        if denied && is_known && wanted.queue != Queue::Any {
+        // A host that lists only its own failure domain can't rule out upstreams elsewhere.
+        let may_exist = node.view.is_narrow() || node.view.has_upstream_beside(spec.service, &[]);
+        if denied && may_exist && spec.queue != Queue::Any {
             return Allocation::Full;
         }
-        if let Some(meter) = wanted.meter
-            && !self.take_own_part(meter)
+        if let Some(meter) = spec.meter
+            && !self.try_acquire_fallback(meter)
         {
-            return Allocation::OverLimit(OWN_PART_RETRY);
+            return Allocation::OverLimit(FALLBACK_RETRY_AFTER);
         }
-        match self.choose(node, wanted) {
+        match self.choose_upstream(node, spec) {
             Some(lease) => Allocation::Granted(lease),
             None => Allocation::NoUpstream,
         }
     }
 
-    /// True if a request may pass though no allocator has counted it.
-    fn take_own_part(&self, meter: &Meter) -> bool {
+    /// Counts a request that no allocator has counted against this host's share of the customer's limit. Returns whether the
+    /// request is admitted.
+    fn try_acquire_fallback(&self, meter: &Meter) -> bool {
         let mut state = self.state.borrow_mut();
         let hosts = state.directory.hosts();
         let now = Instant::now();
-        let passes = state.part.take(&meter.customer, meter.limit, hosts, now);
+        let passes = state.fallback.take(&meter.customer, meter.limit, hosts, now);
         let limit = meter.limit;
-        log::info!(customer:% = meter.customer, rate_milli = limit.rate_milli, hosts, passes; "no allocator counts, this host's own part");
+        log::info!(customer:% = meter.customer, rate_milli = limit.rate_milli, hosts, passes; "no allocator answers, request counted against this host's share of the limit");
         passes
     }
 
-    /// Asks the allocator of a failure domain until it grants an upstream that does not leave, or none.
-    async fn ask(
+    /// Requests a slot from the allocator of a failure domain until it grants an upstream that is not leaving, or denies.
+    async fn request_slot(
         self: &Rc<Self>,
         node: &Node,
-        wanted: &SlotSpec<'_>,
+        spec: &SlotSpec<'_>,
         domain: &str,
         queue: Queue,
-    ) -> Answered {
-        for _ in 0..MAX_LEAVING {
-            let lease = match self.ask_once(wanted, domain, queue).await {
-                Answered::Granted(lease) => lease,
+    ) -> SlotResult {
+        for _ in 0..MAX_LEAVING_GRANTS {
+            let lease = match self.request_slot_once(spec, domain, queue).await {
+                SlotResult::Granted(lease) => lease,
                 other => return other,
             };
-            // The order may have come while the request waited.
+            // The failure domain may have been evacuated while the request waited.
             if node.view.is_evacuated(domain) {
                 log::info!(upstream:% = lease.upstream, failure_domain:% = domain; "grant in an evacuated failure domain given back");
-                return Answered::Denied;
+                return SlotResult::Denied;
             }
             if !node.view.is_leaving(&lease.upstream) {
-                return Answered::Granted(lease);
+                return SlotResult::Granted(lease);
             }
             log::info!(upstream:% = lease.upstream; "grant of a leaving upstream given back");
             lease.set_outcome(Outcome::Leaving);
         }
-        Answered::Denied
+        SlotResult::Denied
     }
 
-    /// Asks the allocator of a failure domain once, and waits there if it says that a slot is likely to come free in time.
-    async fn ask_once(
+    /// Sends one slot request to the allocator of a failure domain, and waits there if the allocator expects a free slot in
+    /// time.
+    async fn request_slot_once(
         self: &Rc<Self>,
-        wanted: &SlotSpec<'_>,
+        spec: &SlotSpec<'_>,
         domain: &str,
         queue: Queue,
-    ) -> Answered {
+    ) -> SlotResult {
         let now = Instant::now();
         let Some(allocator) = self.state.borrow().directory.allocator(domain, now) else {
-            return Answered::Silent;
+            return SlotResult::Unresponsive;
         };
-        let lease = self.next_lease();
-        let mut exclude: SmallVec<[id::Instance; 4]> = wanted.exclude.iter().cloned().collect();
-        // A request that would be turned away otherwise is better off at an upstream that is avoided.
+        let lease = self.new_lease_id();
+        let mut exclude: SmallVec<[id::Instance; 4]> = spec.exclude.iter().cloned().collect();
+        // Avoided upstreams are excluded from the search for a free slot, but not for a request that would be refused otherwise.
         if queue == Queue::No {
-            exclude.extend(self.avoided(now));
+            exclude.extend(self.avoided_upstreams(now));
         }
-        let ask = Ask {
+        let request = Ask {
             lease,
-            class: wanted.class,
-            service: wanted.service.to_owned(),
+            class: spec.class,
+            service: spec.service.to_owned(),
             exclude,
             queue,
-            rank: wanted.rank,
-            meter: wanted.meter.cloned(),
+            rank: spec.rank,
+            meter: spec.meter.cloned(),
         };
-        let mut pending = Pending::send(self, allocator, ask);
-        let mut verdict = pending.first(now, self.patience(allocator)).await;
-        measure::asked(wanted.class, verdict.as_ref(), now.elapsed());
+        let mut pending = Pending::send(self, allocator, request);
+        let mut verdict = pending.first_verdict(now, self.response_timeout(allocator)).await;
+        measure::asked(spec.class, verdict.as_ref(), now.elapsed());
         if verdict == Some(Verdict::Waiting) {
             let until = now + queue.patience().unwrap_or_default();
             verdict = pending.wait(until).await;
-            if pending.is_waiting() {
-                return Answered::TimeUp;
+            if pending.is_queued() {
+                return SlotResult::WaitExpired;
             }
         }
         match verdict {
             Some(Verdict::Granted(grant)) => {
-                let lease = self.hold(lease, wanted.class, domain, Some(allocator), grant);
-                Answered::Granted(lease)
+                let lease = self.add_holding(lease, spec.class, domain, Some(allocator), grant);
+                SlotResult::Granted(lease)
             }
             Some(Verdict::OverLimit(over)) => {
                 let returns_in = Duration::from_millis(over.returns_in_ms.into());
-                log_over_limit(wanted, allocator, over);
-                Answered::OverLimit(returns_in)
+                log_over_limit(spec, allocator, over);
+                SlotResult::OverLimit(returns_in)
             }
-            Some(Verdict::Denied | Verdict::Waiting) => Answered::Denied,
+            Some(Verdict::Denied | Verdict::Waiting) => SlotResult::Denied,
             None => {
-                self.missed(allocator, "no answer to an ask");
-                Answered::Silent
+                self.record_timeout(allocator, "no answer to a slot request");
+                SlotResult::Unresponsive
             }
         }
     }
 
-    /// The upstream at which this host has the fewest requests, where no allocator answers.
-    fn choose(self: &Rc<Self>, node: &Node, wanted: &SlotSpec<'_>) -> Option<Lease> {
+    /// Chooses the upstream with the fewest requests of this host, for the case that no allocator answers.
+    fn choose_upstream(self: &Rc<Self>, node: &Node, spec: &SlotSpec<'_>) -> Option<Lease> {
         let now = Instant::now();
-        let avoided = self.avoided(now);
-        let mut fit = node.view.upstreams(wanted.service);
-        fit.retain(|it| !wanted.exclude.contains(&it.instance));
-        let (shunned, good): (Vec<_>, Vec<_>) = fit
+        let avoided = self.avoided_upstreams(now);
+        let mut candidates = node.view.upstreams(spec.service);
+        candidates.retain(|it| !spec.exclude.contains(&it.instance));
+        let (fallback, preferred): (Vec<_>, Vec<_>) = candidates
             .into_iter()
             .partition(|it| avoided.contains(&it.instance));
-        let fit = if good.is_empty() { shunned } else { good };
-        let start = self.next.get() as usize % fit.len().max(1);
+        let candidates = if preferred.is_empty() { fallback } else { preferred };
+        let start = self.next_lease_id.get() as usize % candidates.len().max(1);
         let state = self.state.borrow();
         let count = |instance: &id::Instance| {
-            let held = state.held.values();
-            held.filter(|held| held.upstream == *instance).count()
+            let holdings = state.holdings.values();
+            holdings.filter(|it| it.upstream == *instance).count()
         };
-        let order = fit[start..].iter().chain(&fit[..start]);
+        let order = candidates[start..].iter().chain(&candidates[..start]);
         let least = order.min_by_key(|it| count(&it.instance))?.clone();
         drop(state);
-        log::info!(upstream:% = least.instance; "no allocator grants a slot, chosen by own count");
+        log::info!(upstream:% = least.instance; "no allocator grants a slot, upstream chosen by the requests of this host");
         let grant = Grant {
             upstream: least.instance,
             address: least.address,
-            // Nobody has counted all its requests, so it may be full.
+            // Other hosts' requests are not known here, so the upstream may be full.
             queued: true,
         };
-        let lease = self.next_lease();
-        Some(self.hold(lease, wanted.class, &least.failure_domain, None, grant))
+        let lease = self.new_lease_id();
+        Some(self.add_holding(lease, spec.class, &least.failure_domain, None, grant))
     }
 }
 
-fn log_over_limit(wanted: &SlotSpec<'_>, allocator: SocketAddr, over: OverLimit) {
-    let Some(meter) = wanted.meter else {
+fn log_over_limit(spec: &SlotSpec<'_>, allocator: SocketAddr, over: OverLimit) {
+    let Some(meter) = spec.meter else {
         return;
     };
     let limit = meter.limit;
--- a/crates/tinbank-gateway/src/sharing/ask/tests.rs
+++ b/crates/tinbank-gateway/src/sharing/ask/tests.rs
@@ -1,4 +1,4 @@
-//! Asks at an allocator whose datagrams come late, twice or not at all.
+//! Tests slot requests to an allocator whose datagrams are delayed, duplicated or lost.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -10,19 +10,19 @@
 use tinbank_allowance::Tolerance;
 use tokio::{net::UdpSocket, task, time};
 
-use super::Answered;
+use super::SlotResult;
 use crate::sharing::{Sharing, SlotSpec, receive};
 
-/// Long enough for a datagram to a host on the same machine.
-const SHORT: Duration = Duration::from_millis(60);
+/// Longer than a datagram takes on the local machine.
+const DELIVERY_TIME: Duration = Duration::from_millis(60);
 
-/// A host that asks, and the socket of the allocator that it asks.
-struct Setting {
+/// A host that requests slots, and the socket of the allocator that it requests them from.
+struct Fixture {
     sharing: Rc<Sharing>,
     allocator: UdpSocket,
 }
 
-impl Setting {
+impl Fixture {
     async fn new() -> Self {
         let own = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         let own_address = own.local_addr().unwrap();
@@ -35,13 +35,13 @@
         Self { sharing, allocator }
     }
 
-    /// The next datagram of a kind, or nothing if there is none for a while.
-    async fn next<T>(&self, is_it: impl Fn(Frame) -> Option<T>) -> Option<(T, SocketAddr)> {
+    /// Returns the next datagram that `select` accepts, or `None` if none arrives in time.
+    async fn next<T>(&self, select: impl Fn(Frame) -> Option<T>) -> Option<(T, SocketAddr)> {
         let mut buffer = vec![0; MAX_BYTES];
         loop {
-            let received = time::timeout(SHORT, self.allocator.recv_from(&mut buffer)).await;
+            let received = time::timeout(DELIVERY_TIME, self.allocator.recv_from(&mut buffer)).await;
             let (length, from) = received.ok()?.unwrap();
-            if let Some(it) = is_it(Frame::decode(&buffer[..length]).unwrap()) {
+            if let Some(it) = select(Frame::decode(&buffer[..length]).unwrap()) {
                 return Some((it, from));
             }
         }
@@ -71,7 +71,7 @@
     })
 }
 
-fn ask(frame: Frame) -> Option<lease::Id> {
+fn slot_request(frame: Frame) -> Option<lease::Id> {
     match frame {
         Frame::Ask(ask) => Some(ask.lease),
         _ => None,
@@ -92,7 +92,7 @@
     }
 }
 
-fn play(test: impl Future<Output = ()>) {
+fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -100,11 +100,11 @@
     task::LocalSet::new().block_on(&runtime, test);
 }
 
-/// Asks in the background, and tells what came of it.
-fn asks(setting: &Setting, queue: Queue) -> task::JoinHandle<Answered> {
-    let sharing = Rc::clone(&setting.sharing);
+/// Requests a slot in the background.
+fn request(fixture: &Fixture, queue: Queue) -> task::JoinHandle<SlotResult> {
+    let sharing = Rc::clone(&fixture.sharing);
     task::spawn_local(async move {
-        let wanted = SlotSpec {
+        let spec = SlotSpec {
             class: Class::Online,
             service: "notes",
             exclude: &[],
@@ -112,83 +112,83 @@
             rank: 0,
             meter: None,
         };
-        sharing.ask_once(&wanted, "north", queue).await
+        sharing.request_slot_once(&spec, "north", queue).await
     })
 }
 
 #[test]
 fn an_answer_that_comes_twice_ends_no_lease_in_use() {
-    play(async {
-        let setting = Setting::new().await;
-        let asked = asks(&setting, Queue::No);
-        let (lease, host) = setting.next(ask).await.unwrap();
+    run(async {
+        let fixture = Fixture::new().await;
+        let request = request(&fixture, Queue::No);
+        let (lease, host) = fixture.next(slot_request).await.unwrap();
 
-        setting.answer(host, lease, grant()).await;
-        let granted = asked.await.unwrap();
-        setting.answer(host, lease, grant()).await;
+        fixture.answer(host, lease, grant()).await;
+        let granted = request.await.unwrap();
+        fixture.answer(host, lease, grant()).await;
 
-        assert!(matches!(granted, Answered::Granted(_)));
-        assert_eq!(setting.next(release).await, None);
+        assert!(matches!(granted, SlotResult::Granted(_)));
+        assert_eq!(fixture.next(release).await, None);
     });
 }
 
 #[test]
-fn a_slot_that_comes_when_nobody_waits_any_more_goes_back() {
-    play(async {
-        let setting = Setting::new().await;
-        let asked = asks(&setting, Queue::No);
-        let (lease, host) = setting.next(ask).await.unwrap();
-        asked.abort();
-        time::sleep(SHORT).await;
+fn a_slot_granted_after_the_caller_left_is_released() {
+    run(async {
+        let fixture = Fixture::new().await;
+        let request = request(&fixture, Queue::No);
+        let (lease, host) = fixture.next(slot_request).await.unwrap();
+        request.abort();
+        time::sleep(DELIVERY_TIME).await;
 
-        setting.answer(host, lease, grant()).await;
+        fixture.answer(host, lease, grant()).await;
 
-        let (released, _) = setting.next(release).await.unwrap();
+        let (released, _) = fixture.next(release).await.unwrap();
         assert_eq!(released, lease);
     });
 }
 
 #[test]
-fn a_request_that_waits_is_granted_the_slot_that_comes_free() {
-    play(async {
-        let setting = Setting::new().await;
-        let asked = asks(&setting, Queue::Within(2_000));
-        let (lease, host) = setting.next(ask).await.unwrap();
-        setting.answer(host, lease, Verdict::Waiting).await;
-        time::sleep(2 * SHORT).await;
+fn a_waiting_request_gets_a_slot_that_becomes_free() {
+    run(async {
+        let fixture = Fixture::new().await;
+        let request = request(&fixture, Queue::Within(2_000));
+        let (lease, host) = fixture.next(slot_request).await.unwrap();
+        fixture.answer(host, lease, Verdict::Waiting).await;
+        time::sleep(2 * DELIVERY_TIME).await;
 
-        setting.answer(host, lease, grant()).await;
+        fixture.answer(host, lease, grant()).await;
 
-        assert!(matches!(asked.await.unwrap(), Answered::Granted(_)));
+        assert!(matches!(request.await.unwrap(), SlotResult::Granted(_)));
     });
 }
 
 #[test]
-fn a_caller_that_leaves_while_it_waits_is_taken_out_at_the_allocator() {
-    play(async {
-        let setting = Setting::new().await;
-        let asked = asks(&setting, Queue::Within(2_000));
-        let (lease, host) = setting.next(ask).await.unwrap();
-        setting.answer(host, lease, Verdict::Waiting).await;
-        time::sleep(SHORT).await;
+fn a_request_is_withdrawn_when_its_caller_leaves() {
+    run(async {
+        let fixture = Fixture::new().await;
+        let request = request(&fixture, Queue::Within(2_000));
+        let (lease, host) = fixture.next(slot_request).await.unwrap();
+        fixture.answer(host, lease, Verdict::Waiting).await;
+        time::sleep(DELIVERY_TIME).await;
 
-        asked.abort();
+        request.abort();
 
-        let (withdrawn, _) = setting.next(withdrawal).await.unwrap();
+        let (withdrawn, _) = fixture.next(withdrawal).await.unwrap();
         assert_eq!(withdrawn, lease);
     });
 }
 
 #[test]
-fn a_request_whose_time_is_up_is_taken_out_at_the_allocator() {
-    play(async {
-        let setting = Setting::new().await;
-        let asked = asks(&setting, Queue::Within(100));
-        let (lease, host) = setting.next(ask).await.unwrap();
-        setting.answer(host, lease, Verdict::Waiting).await;
-
-        assert!(matches!(asked.await.unwrap(), Answered::TimeUp));
-        let (withdrawn, _) = setting.next(withdrawal).await.unwrap();
+fn a_request_is_withdrawn_when_its_wait_expires() {
+    run(async {
+        let fixture = Fixture::new().await;
+        let request = request(&fixture, Queue::Within(100));
+        let (lease, host) = fixture.next(slot_request).await.unwrap();
+        fixture.answer(host, lease, Verdict::Waiting).await;
+
+        assert!(matches!(request.await.unwrap(), SlotResult::TimeUp));
+        let (withdrawn, _) = fixture.next(withdrawal).await.unwrap();
         assert_eq!(withdrawn, lease);
     });
 }
--- a/crates/tinbank-gateway/src/sharing/counts.rs
+++ b/crates/tinbank-gateway/src/sharing/counts.rs
@@ -1,4 +1,4 @@
-//! Tells other allocators, and the hosts that would take over from them, which customers this one has let in.
+//! Sends the number of admitted requests per customer to the other allocators and to the hosts that would replace them.
 
 use std::{
     rc::Rc,
@@ -10,30 +10,30 @@
 
 use super::Sharing;
 
-/// Time between two messages. Source: what several allocators let in of one customer before they hear of each other; at 400
-/// requests a second of a customer, by which the largest exceeds its limit eight times, that is some 13 requests.
-const ROUND: Duration = Duration::from_millis(50);
-/// Another host that has told its counts this long ago is an allocator for somebody, whoever this host takes for one.
-const TELLER_AGE: Duration = Duration::from_secs(1);
+/// Time between two messages. It bounds the requests of a customer that several allocators admit before they receive each
+/// other's counts.
+const INTERVAL: Duration = Duration::from_millis(50);
+/// A host that sent counts within this time is an allocator for some hosts, even if not by this host's own view.
+const SENDER_AGE: Duration = Duration::from_secs(1);
 
-/// Tells for as long as the process runs.
+/// Sends the counts at each interval, forever.
 pub(crate) async fn broadcast_counts(sharing: Rc<Sharing>) {
-    let mut ticks = time::interval(ROUND);
+    let mut ticks = time::interval(INTERVAL);
     ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        sharing.tell_counts_once(Instant::now());
+        sharing.broadcast_counts_once(Instant::now());
     }
 }
 
 impl Sharing {
-    fn tell_counts_once(&self, now: Instant) {
+    fn broadcast_counts_once(&self, now: Instant) {
         let mut state = self.state.borrow_mut();
         let Some(counts) = state.allocator.counts(now) else {
             return;
         };
         let mut others = state.directory.counters(now);
-        others.extend(state.allocator.tellers(TELLER_AGE, now));
+        others.extend(state.allocator.tellers(SENDER_AGE, now));
         drop(state);
         others.sort();
         others.dedup();
--- a/crates/tinbank-gateway/src/sharing/held.rs
+++ b/crates/tinbank-gateway/src/sharing/held.rs
@@ -1,4 +1,4 @@
-//! What this host holds: leases of slots at upstreams.
+//! The leases of slots that this host holds.
 
 use std::{
     cell::Cell,
@@ -16,11 +16,11 @@
 
 use super::Sharing;
 
-/// The right to have one request at one upstream. It ends when it is dropped.
+/// The right to run one request at one upstream. Dropping it releases the slot.
 pub(crate) struct Lease {
     pub upstream: id::Instance,
     pub address: SocketAddr,
-    /// All slots of the upstream were in use, so the request waits inside it at first.
+    /// Whether all slots of the upstream are in use, so that the request first waits inside it.
     pub queued: bool,
     sharing: Rc<Sharing>,
     id: lease::Id,
@@ -30,24 +30,24 @@
 }
 
 impl Lease {
-    /// Waits until the allocator takes the slot back.
+    /// Waits until the allocator reclaims the slot.
     pub async fn reclaimed(&self) {
         self.reclaimed.notified().await;
     }
 
-    /// The allocator that granted it, for logs.
-    pub fn chosen_by(&self) -> String {
+    /// Returns the allocator that granted the lease, for logs.
+    pub fn granted_by(&self) -> String {
         self.allocator
             .map_or_else(|| "none".to_owned(), |allocator| allocator.to_string())
     }
 
-    /// How long the upstream may take for a round trip at least: it is as far away as the allocator of its failure domain.
-    pub fn patience(&self) -> Duration {
+    /// Returns the time to allow for a round trip to the upstream. It is as far away as the allocator of its failure domain.
+    pub fn round_trip_timeout(&self) -> Duration {
         let allocator = self.allocator;
-        allocator.map_or(Duration::ZERO, |host| self.sharing.patience(host))
+        allocator.map_or(Duration::ZERO, |host| self.sharing.response_timeout(host))
     }
 
-    /// Says how the request ended.
+    /// Sets the outcome that is reported when the lease is dropped.
     pub fn set_outcome(&self, outcome: Outcome) {
         self.outcome.set(outcome);
     }
@@ -59,7 +59,7 @@
     }
 }
 
-/// What this host holds of an upstream, as its allocators are told.
+/// A held lease, as reported to the allocator.
 pub(super) struct Holding {
     pub upstream: id::Instance,
     pub failure_domain: id::FailureDomain,
@@ -68,8 +68,8 @@
 }
 
 impl Sharing {
-    /// Enters what an allocator granted, or this host chose itself.
-    pub(super) fn hold(
+    /// Records a lease that an allocator granted, or that this host took without one.
+    pub(super) fn add_holding(
         self: &Rc<Self>,
         id: lease::Id,
         class: Class,
@@ -84,7 +84,7 @@
             class,
             reclaimed: Rc::clone(&reclaimed),
         };
-        self.state.borrow_mut().held.insert(id, holding);
+        self.state.borrow_mut().holdings.insert(id, holding);
         Lease {
             upstream: grant.upstream,
             address: grant.address,
@@ -101,7 +101,7 @@
         let outcome = lease.outcome.get();
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
-        state.held.remove(&lease.id);
+        state.holdings.remove(&lease.id);
         state.avoidance.note(&lease.upstream, outcome, now);
         drop(state);
         let Some(allocator) = lease.allocator else {
--- a/crates/tinbank-gateway/src/sharing/load_poll.rs
+++ b/crates/tinbank-gateway/src/sharing/load_poll.rs
@@ -1,6 +1,6 @@
-//! Asks upstreams for their load while the allocator of this host learns.
+//! Load reports of upstreams, requested while this host's allocator collects the leases of other hosts.
 //!
-//! After hosts have lost power, upstreams go on with what they ran for them, and no lease tells so.
+//! Upstreams keep running the requests of failed hosts, which no lease accounts for.
 
 use std::{
     rc::Rc,
@@ -18,50 +18,47 @@
     node::Node,
 };
 
-/// How long an upstream may take to report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(150);
-/// Time between two reports of an upstream at least. Source: a third of the time for which requests hold a slot,
-/// so that a slot that a lost host's request leaves is known to be free soon; each report has a price.
-const ROUND: Duration = Duration::from_millis(250);
-/// Upstreams that are asked at the same time. Source: at 1,000 upstreams in a failure domain, to ask all at once took 15 MB
-/// and 1,000 connections.
-const AT_ONCE: usize = 4;
-/// Time from asking some upstreams to asking the next ones, at least. Source: the host that asks is the one that deals slots, so
-/// reports are bounded to 400 a second however many upstreams there are; 31 are still asked four times a second.
-const STEP: Duration = Duration::from_millis(10);
-/// Longest time for which upstreams are asked. Source: by then they have finished what lost hosts left.
-const LONGEST: Duration = Duration::from_secs(10);
+/// Minimum time between two reports of an upstream: a fraction of the time for which requests hold a slot, so that slots of
+/// failed hosts are soon known to be free.
+const ROUND_INTERVAL: Duration = Duration::from_millis(250);
+/// Number of upstreams that are polled at the same time, which bounds memory and connections.
+const BATCH_SIZE: usize = 4;
+/// Minimum time between two batches. It bounds the load of the polling host, which also allocates the slots.
+const BATCH_INTERVAL: Duration = Duration::from_millis(10);
+/// Longest time to poll; by then upstreams have finished the requests of failed hosts.
+const MAX_POLL_TIME: Duration = Duration::from_secs(10);
 
-/// Asks whenever the allocator begins to learn, for as long as the process runs.
+/// Polls whenever the allocator starts to collect leases, forever.
 pub(crate) async fn poll_upstream_load(node: Rc<Node>) {
     loop {
         node.sharing.learning.notified().await;
-        let until = Instant::now() + LONGEST;
-        while Instant::now() < until && node.sharing.needs_reports(Instant::now()) {
-            let next_round = Instant::now() + ROUND;
-            ask_all(&node).await;
+        let until = Instant::now() + MAX_POLL_TIME;
+        while Instant::now() < until && node.sharing.needs_load_reports(Instant::now()) {
+            let next_round = Instant::now() + ROUND_INTERVAL;
+            poll_all(&node).await;
             time::sleep_until(next_round.into()).await;
         }
-        node.sharing.settle();
+        node.sharing.clear_orphaned();
     }
 }
 
-async fn ask_all(node: &Node) {
-    let upstreams = node.sharing.unsettled();
-    for some in upstreams.chunks(AT_ONCE) {
-        let next_step = Instant::now() + STEP;
-        join_all(some.iter().map(|upstream| note_load(node, upstream))).await;
-        time::sleep_until(next_step.into()).await;
+async fn poll_all(node: &Node) {
+    let upstreams = node.sharing.upstreams_to_poll();
+    for batch in upstreams.chunks(BATCH_SIZE) {
+        let next_batch = Instant::now() + BATCH_INTERVAL;
+        join_all(batch.iter().map(|upstream| poll(node, upstream))).await;
+        time::sleep_until(next_batch.into()).await;
     }
 }
 
-async fn note_load(node: &Node, upstream: &Upstream) {
-    match ask(node, upstream).await {
+async fn poll(node: &Node, upstream: &Upstream) {
+    match request_load(node, upstream).await {
         Ok(Load { running, waiting }) => {
             log::info!(upstream:% = upstream.instance, running, waiting; "upstream reports its load");
             let requests = running + waiting;
             node.sharing
-                .reported(&upstream.instance, requests, Instant::now());
+                .record_load(&upstream.instance, requests, Instant::now());
         }
         Err(why) => {
             log::info!(upstream:% = upstream.instance, why:%; "upstream reports no load")
@@ -69,18 +66,18 @@
     }
 }
 
-/// No report, and why.
+/// The reason why an upstream gave no report.
 #[derive(Debug, thiserror::Error)]
 enum Error {
     #[error(transparent)]
     Exchange(#[from] exchange::Error),
-    #[error("broken off: {0}")]
+    #[error("connection lost: {0}")]
     Broken(#[from] hyper::Error),
     #[error(transparent)]
     Unreadable(#[from] crate::border::engine::Unreadable),
 }
 
-async fn ask(node: &Node, upstream: &Upstream) -> Result<Load, Error> {
+async fn request_load(node: &Node, upstream: &Upstream) -> Result<Load, Error> {
     let until = Instant::now() + REPORT_TIMEOUT;
     let times = Until {
         connected: until,
--- a/crates/tinbank-gateway/src/sharing/peers.rs
+++ b/crates/tinbank-gateway/src/sharing/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams of other hosts, and heartbeats to them.
+//! Datagrams from other hosts, and heartbeats to them.
 
 use std::{
     net::SocketAddr,
@@ -23,36 +23,36 @@
         let now = Instant::now();
         if from != self.own.address {
             let mut state = self.state.borrow_mut();
-            state.unheard.remove(&from);
+            state.awaiting_reply.remove(&from);
             let is_back = state.directory.heard(from);
             drop(state);
             if is_back {
-                log::info!(peer:% = from; "host heard again");
-                // It may be an allocator again, and has not been told for a while.
-                self.tell_holdings(now);
+                log::info!(peer:% = from; "host responds again");
+                // The host may be an allocator again and has outdated holdings.
+                self.send_holdings(now);
             }
         }
         match frame {
-            Frame::Answer(answer) => self.answered(from, answer),
+            Frame::Answer(answer) => self.on_answer(from, answer),
             Frame::Ping => self.send(from, &Frame::Alive(self.alive(now))),
             Frame::Reclaim(lease) => self.reclaim(lease),
             Frame::Alive(alive) => {
                 let mut state = self.state.borrow_mut();
                 state.directory.answered(from, now);
                 match alive.reaches_store {
-                    true => state.with_store.insert(from, now),
-                    false => state.with_store.remove(&from),
+                    true => state.store_reachable_at.insert(from, now),
+                    false => state.store_reachable_at.remove(&from),
                 };
             }
-            asked => {
+            frame => {
                 let mut state = self.state.borrow_mut();
                 state.allocator.announce(self.alive(now));
-                let (out, change) = state.allocator.receive(from, asked, now);
+                let (out, change) = state.allocator.receive(from, frame, now);
                 drop(state);
                 if change == Some(Change::Learning) {
                     self.learning.notify_one();
                 }
-                note(change);
+                log_change(change);
                 self.send_all(out);
             }
         }
@@ -64,25 +64,25 @@
         }
     }
 
-    fn answered(&self, from: SocketAddr, answer: frame::Answer) {
+    fn on_answer(&self, from: SocketAddr, answer: frame::Answer) {
         let frame::Answer { lease, verdict } = answer;
         let state = self.state.borrow();
-        let unheard = match state.asks.get(&lease) {
+        let unclaimed = match state.pending.get(&lease) {
             Some(pending) => pending.send(verdict).err().map(|error| error.0),
             None => Some(verdict),
         };
         drop(state);
-        match unheard {
-            // Nobody waits any more, so the slot goes back at once.
-            Some(Verdict::Granted(grant)) => self.give_back(from, lease, grant),
+        match unclaimed {
+            // The caller has left, so the slot is released at once.
+            Some(Verdict::Granted(grant)) => self.release_unused(from, lease, grant),
             Some(Verdict::Waiting) => self.send(from, &Frame::Withdraw(lease)),
             Some(Verdict::Denied | Verdict::OverLimit(_)) | None => {}
         }
     }
 
-    /// Gives a slot back that was not used. One that is in use was granted by an answer that came twice.
-    pub(super) fn give_back(&self, allocator: SocketAddr, lease: lease::Id, grant: Grant) {
-        if self.state.borrow().held.contains_key(&lease) {
+    /// Releases a slot that was not used, unless the grant is a duplicate of one that is in use.
+    pub(super) fn release_unused(&self, allocator: SocketAddr, lease: lease::Id, grant: Grant) {
+        if self.state.borrow().holdings.contains_key(&lease) {
             return;
         }
         let release = Release {
@@ -94,24 +94,25 @@
     }
 
     fn reclaim(&self, lease: lease::Id) {
-        if let Some(holding) = self.state.borrow().held.get(&lease) {
+        if let Some(holding) = self.state.borrow().holdings.get(&lease) {
             holding.reclaimed.notify_one();
         }
     }
 
-    pub(super) fn missed(&self, allocator: SocketAddr, why: &'static str) {
+    /// Records that a host did not answer in time.
+    pub(super) fn record_timeout(&self, allocator: SocketAddr, why: &'static str) {
         let now = Instant::now();
-        let moved = self.state.borrow_mut().directory.missed(allocator, now);
-        if moved {
-            log::warn!(peer:% = allocator, why; "host silent, passed over as allocator");
-            self.tell_holdings(now);
+        let was_replaced = self.state.borrow_mut().directory.missed(allocator, now);
+        if was_replaced {
+            log::warn!(peer:% = allocator, why; "host unresponsive, skipped as allocator");
+            self.send_holdings(now);
         }
     }
 
-    /// Tells each allocator what this host holds in its failure domain.
-    pub(super) fn tell_holdings(&self, now: Instant) {
-        let next = self.next.get();
-        let mut letters: SmallVec<[(SocketAddr, Holdings); 4]> = SmallVec::new();
+    /// Sends each allocator the leases that this host holds in its failure domain.
+    pub(super) fn send_holdings(&self, now: Instant) {
+        let next = self.next_lease_id.get();
+        let mut messages: SmallVec<[(SocketAddr, Holdings); 4]> = SmallVec::new();
         let state = self.state.borrow();
         let own = &self.own.failure_domain;
         for domain in state.directory.failure_domains(own, 0) {
@@ -119,7 +120,7 @@
                 continue;
             };
             let held = state
-                .held
+                .holdings
                 .iter()
                 .filter(|(_, it)| it.failure_domain == domain);
             let held = held.map(|(lease, it)| Held {
@@ -128,63 +129,62 @@
                 class: it.class,
             });
             let held = held.collect();
-            letters.push((allocator, Holdings { next, held }));
+            messages.push((allocator, Holdings { next, held }));
         }
         drop(state);
-        for (to, holdings) in letters {
-            self.expect(to, now);
+        for (to, holdings) in messages {
+            self.expect_reply(to, now);
             self.send(to, &Frame::Holdings(holdings));
         }
     }
 
-    /// Asks for a heartbeat of those that this host has nothing to tell: the other delegates of its failure domain, and
-    /// hosts that were passed over and whose time is up.
+    /// Sends a ping to hosts that get no holdings from this one: the other delegates of its failure domain, and skipped hosts
+    /// that are due for a probe.
     fn ping(&self, now: Instant) {
         let state = self.state.borrow();
         let own = &self.own.failure_domain;
         let allocator = state.directory.allocator(own, now);
         let delegates = state.directory.delegates(own, now).into_iter();
         let delegates = delegates.map(|it| it.address);
-        let mut asked: SmallVec<[SocketAddr; 8]> =
+        let mut targets: SmallVec<[SocketAddr; 8]> =
             delegates.filter(|it| Some(*it) != allocator).collect();
-        asked.extend(state.directory.due(now));
+        targets.extend(state.directory.due(now));
         drop(state);
-        asked.retain(|it| *it != self.own.address);
-        for to in asked {
-            self.expect(to, now);
+        targets.retain(|it| *it != self.own.address);
+        for to in targets {
+            self.expect_reply(to, now);
             self.send(to, &Frame::Ping);
         }
     }
 
-    /// An answer to a heartbeat has to come before the next one.
-    fn expect(&self, from: SocketAddr, now: Instant) {
+    /// Expects a reply from a host before the next heartbeat.
+    fn expect_reply(&self, from: SocketAddr, now: Instant) {
         if from == self.own.address {
             return;
         }
         let mut state = self.state.borrow_mut();
-        state.unheard.insert(from);
+        state.awaiting_reply.insert(from);
         state.directory.told(from, now);
     }
 }
 
-fn note(change: Option<Change>) {
+fn log_change(change: Option<Change>) {
     match change {
         Some(Change::Ejected(upstream)) => {
-            log::warn!(upstream:%; "upstream ejected, two hosts had trouble with it");
+            log::warn!(upstream:%; "upstream ejected, two hosts reported failures");
         }
         Some(Change::Left(upstream)) => {
-            log::info!(upstream:%; "upstream leaves, by a newer list of another host");
+            log::info!(upstream:%; "upstream leaves, according to a newer list of another host");
         }
         Some(Change::Learning) => {
-            log::info!("allocator learns the leases of others before it grants to batch");
+            log::info!("allocator collects the leases of other hosts before it grants slots to batch");
         }
         None => {}
     }
 }
 
-/// Receives datagrams for as long as the process runs.
-/// What they tell of requests that end upstreams is passed to `news`.
-pub(crate) async fn receive(sharing: Rc<Sharing>, news: impl Fn(SocketAddr, News)) {
+/// Receives datagrams, forever. Updates about requests that crash upstreams are passed to `on_quarantine`.
+pub(crate) async fn receive(sharing: Rc<Sharing>, on_quarantine: impl Fn(SocketAddr, News)) {
     let mut buffer = vec![0; MAX_BYTES];
     loop {
         let (length, from) = match sharing.socket.recv_from(&mut buffer).await {
@@ -196,26 +196,26 @@
             }
         };
         match Frame::decode(&buffer[..length]) {
-            Ok(Frame::Quarantine(told)) => news(from, told),
+            Ok(Frame::Quarantine(update)) => on_quarantine(from, update),
             Ok(frame) => sharing.receive(from, frame),
             Err(error) => log::warn!(peer:% = from, error:%; "datagram ignored"),
         }
     }
 }
 
-/// Tells holdings at each heartbeat, and passes over hosts that did not answer the one before.
+/// Sends holdings and pings at each heartbeat, forever, and skips hosts that did not answer the previous one.
 pub(crate) async fn heartbeat(node: Rc<Node>) {
     let sharing = &node.sharing;
     let mut ticks = time::interval(HEARTBEAT);
     ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        let unheard = std::mem::take(&mut sharing.state.borrow_mut().unheard);
-        for peer in unheard {
-            sharing.missed(peer, "no answer to a heartbeat");
+        let unresponsive = std::mem::take(&mut sharing.state.borrow_mut().awaiting_reply);
+        for peer in unresponsive {
+            sharing.record_timeout(peer, "no answer to a heartbeat");
         }
         let now = Instant::now();
-        sharing.tell_holdings(now);
+        sharing.send_holdings(now);
         sharing.ping(now);
         node.feed.look(sharing, now);
     }
--- a/crates/tinbank-gateway/src/sharing/pending.rs
+++ b/crates/tinbank-gateway/src/sharing/pending.rs
@@ -1,4 +1,4 @@
-//! An ask at an allocator that is under way.
+//! A slot request in progress.
 
 use std::{
     net::SocketAddr,
@@ -11,33 +11,31 @@
 
 use super::Sharing;
 
-/// Part of the time for an answer after which an ask is sent a second time, in percent: datagrams are lost now and then.
-/// Source: the answer has come by then as a rule, and the second one has time for its own.
+/// Time after which a request is sent again in case a datagram was lost, in percent of the response timeout.
 const RESEND_PERCENT: u32 = 40;
-/// How often a request that waits at an allocator asks again: its answer, or the allocator, may be lost. Source: a small part
-/// of the time for which requests wait.
-const RENEW: Duration = Duration::from_millis(70);
+/// Time between two transmissions of a request that waits at the allocator, since the grant or the allocator may be lost.
+const RESEND_INTERVAL: Duration = Duration::from_millis(70);
 
-/// An ask under way. When it is dropped, because the caller left or its time is up, the allocator is told that nobody waits
-/// for it any more, and a slot that was granted meanwhile goes back.
+/// A slot request in progress. Dropping it withdraws the request at the allocator and releases a slot that was granted
+/// meanwhile.
 pub(super) struct Pending {
     sharing: Rc<Sharing>,
     allocator: SocketAddr,
-    ask: Ask,
+    request: Ask,
     verdicts: mpsc::UnboundedReceiver<Verdict>,
     last: Option<Verdict>,
 }
 
 impl Pending {
-    /// Sends an ask to an allocator.
-    pub fn send(sharing: &Rc<Sharing>, allocator: SocketAddr, ask: Ask) -> Self {
+    /// Sends a request to an allocator.
+    pub fn send(sharing: &Rc<Sharing>, allocator: SocketAddr, request: Ask) -> Self {
         let (sender, verdicts) = mpsc::unbounded_channel();
-        let lease = ask.lease;
-        sharing.state.borrow_mut().asks.insert(lease, sender);
+        let lease = request.lease;
+        sharing.state.borrow_mut().pending.insert(lease, sender);
         let pending = Self {
             sharing: Rc::clone(sharing),
             allocator,
-            ask,
+            request,
             verdicts,
             last: None,
         };
@@ -45,24 +43,24 @@
         pending
     }
 
-    /// The first verdict, or nothing if the allocator did not answer in time.
-    pub async fn first(&mut self, sent_at: Instant, patience: Duration) -> Option<Verdict> {
-        let resend_at = sent_at + patience * RESEND_PERCENT / 100;
+    /// Returns the first verdict, or `None` if the allocator does not answer in time.
+    pub async fn first_verdict(&mut self, sent_at: Instant, timeout: Duration) -> Option<Verdict> {
+        let resend_at = sent_at + timeout * RESEND_PERCENT / 100;
         if let Some(verdict) = self.next(resend_at).await {
             return Some(verdict);
         }
         self.resend();
-        self.next(sent_at + patience).await
+        self.next(sent_at + timeout).await
     }
 
-    /// Waits until the allocator has a slot for the request, or until it has waited for long enough.
+    /// Waits until the allocator decides on the request, or until the given time.
     pub async fn wait(&mut self, until: Instant) -> Option<Verdict> {
         loop {
             let now = Instant::now();
             if now >= until {
                 return Some(Verdict::Waiting);
             }
-            match self.next(until.min(now + RENEW)).await {
+            match self.next(until.min(now + RESEND_INTERVAL)).await {
                 Some(Verdict::Waiting) => {}
                 Some(verdict) => return Some(verdict),
                 None => self.resend(),
@@ -70,8 +68,8 @@
         }
     }
 
-    /// True if the allocator has the request among those that wait.
-    pub fn is_waiting(&self) -> bool {
+    /// Returns whether the request is queued at the allocator.
+    pub fn is_queued(&self) -> bool {
         self.last == Some(Verdict::Waiting)
     }
 
@@ -83,23 +81,23 @@
     }
 
     fn resend(&self) {
-        let frame = Frame::Ask(self.ask.clone());
+        let frame = Frame::Ask(self.request.clone());
         self.sharing.send(self.allocator, &frame);
     }
 }
 
 impl Drop for Pending {
     fn drop(&mut self) {
-        let lease = self.ask.lease;
-        self.sharing.state.borrow_mut().asks.remove(&lease);
-        if self.is_waiting() {
+        let lease = self.request.lease;
+        self.sharing.state.borrow_mut().pending.remove(&lease);
+        if self.is_queued() {
             let frame = Frame::Withdraw(lease);
             self.sharing.send(self.allocator, &frame);
         }
         self.verdicts.close();
         while let Ok(verdict) = self.verdicts.try_recv() {
             if let Verdict::Granted(grant) = verdict {
-                self.sharing.give_back(self.allocator, lease, grant);
+                self.sharing.release_unused(self.allocator, lease, grant);
             }
         }
     }
--- a/crates/tinbank-relay/src/silence.rs
+++ b/crates/tinbank-relay/src/silence.rs
@@ -59,7 +59,7 @@
 
 /// The response timeout of a request that was sent.
 #[derive(Clone, Copy, Debug)]
-pub struct ResponseTimeout {
+pub struct AttemptTimeout {
     /// Target time for the start of the answer.
     pub target: Duration,
     /// Whether the request is queued inside the upstream.
@@ -70,7 +70,7 @@
     pub typical_hold: Option<Duration>,
 }
 
-impl ResponseTimeout {
+impl AttemptTimeout {
     /// Returns when the upstream counts as unresponsive. A queued request may take its full target time or, if it is late
     /// anyway, as long as the requests ahead of it hold their slots.
     pub fn deadline(&self, now: Instant) -> Instant {
--- a/crates/tinbank-relay/tests/silence.rs
+++ b/crates/tinbank-relay/tests/silence.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use tinbank_relay::silence::{IdleTimeout, ResponseTimeout};
+use tinbank_relay::silence::{IdleTimeout, AttemptTimeout};
 use yare::parameterized;
 
 fn ms(ms: u64) -> Duration {
@@ -69,7 +69,7 @@
     expected_ms: u64,
 ) {
     let now = Instant::now();
-    let timeout = ResponseTimeout {
+    let timeout = AttemptTimeout {
         target: ms(target_ms),
         is_queued,
         is_late,
