--- a/crates/tinbank-base/src/cause.rs
+++ b/crates/tinbank-base/src/cause.rs
@@ -1,9 +1,9 @@
-//! Errors as text.
+//! Error messages with their causes.
 
 use std::error::Error;
 
-/// An error with its causes, parted by colons. The text of many libraries' errors leaves out what the system said, which
-/// is what an operator needs.
+/// Returns the message of an error followed by those of its sources, separated by colons. The messages of many libraries
+/// leave out the underlying system error.
 pub fn chain(error: &dyn Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
--- a/crates/tinbank-base/src/clock.rs
+++ b/crates/tinbank-base/src/clock.rs
@@ -1,6 +1,6 @@
-//! Hybrid logical clock: stamps that follow wall time and still put every cause before its effect.
+//! Hybrid logical clock: stamps that follow wall time and still order every cause before its effect.
 //!
-//! Clocks of hosts differ; the time line must not show an answer before its question. See
+//! The clocks of hosts differ, and the timeline must not show a response before its request. See
 //! `docs/design/timeline.md`.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -9,35 +9,35 @@
 
 use crate::id;
 
-/// A point in the causal order of events over all processes.
+/// A position in the causal order of the events of all processes.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Stamp {
-    /// Largest wall time seen on the way here, in microseconds since 1970.
+    /// Largest wall time seen so far, in microseconds since the Unix epoch.
     pub micros: u64,
-    /// Orders stamps that share a wall time.
+    /// Orders stamps with the same wall time.
     pub counter: u32,
 }
 
 impl Stamp {
-    /// The wall time of the stamp.
+    /// Returns the wall time of the stamp.
     pub fn time(self) -> SystemTime {
         UNIX_EPOCH + Duration::from_micros(self.micros)
     }
 }
 
-/// State of one process's hybrid logical clock. It reads no clock itself: the edge passes `now`.
+/// The hybrid logical clock of a process. It reads no clock itself; callers pass `now`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Hybrid {
     last: Stamp,
 }
 
-/// How far ahead of our wall time a peer's stamp may pull us; beyond it the peer's clock is wrong.
+/// Largest difference by which a peer's stamp may be ahead of the local wall time; beyond it, the peer's clock is wrong.
 pub const MAX_AHEAD: Duration = Duration::from_secs(60);
 
 impl Hybrid {
-    /// Stamps a local event or a message about to be sent.
+    /// Returns the stamp of a local event or of a message to be sent.
     pub fn tick(&mut self, now: SystemTime) -> Stamp {
         let wall = micros(now);
         self.last = if wall > self.last.micros {
@@ -51,9 +51,9 @@
         self.last
     }
 
-    /// Takes in the stamp of a received message, so that what follows comes after it.
+    /// Applies the stamp of a received message, so that later local events are ordered after it.
     ///
-    /// A stamp more than [`MAX_AHEAD`] ahead is ignored, so that one wrong clock can't drag all others.
+    /// A stamp more than [`MAX_AHEAD`] ahead is ignored, so that one wrong clock does not advance all others.
     pub fn observe(&mut self, seen: Stamp, now: SystemTime) {
         let limit = micros(now) + MAX_AHEAD.as_micros() as u64;
         if seen.micros <= limit {
@@ -74,13 +74,13 @@
     }
 }
 
-/// Microseconds since 1970; times before then count as 0, times after the largest number as that one.
+/// Returns the microseconds since the Unix epoch, clamped to the range of `u64`.
 pub fn micros(time: SystemTime) -> u64 {
     let since = time.duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// A start number for a process: later starts have larger numbers.
+/// Returns the incarnation number of a process that starts now. Later starts have larger numbers.
 pub fn incarnation(now: SystemTime) -> id::Incarnation {
     micros(now)
 }
--- a/crates/tinbank-base/src/digest.rs
+++ b/crates/tinbank-base/src/digest.rs
@@ -1,16 +1,17 @@
-//! Digests of keys and bodies, so that neither callers' keys nor idempotency keys are kept in clear.
+//! Digests of keys and bodies, so that neither API keys nor idempotency keys are stored in plain text.
 
 use sha2::{Digest as _, Sha256};
 
 /// A SHA-256 digest.
 pub type Digest = [u8; 32];
 
-/// Digests one piece of data.
+/// Returns the digest of some data.
 pub fn of(data: &[u8]) -> Digest {
     Sha256::digest(data).into()
 }
 
-/// Digests several fields so that moving a byte from one field to the next changes the digest.
+/// Returns the digest of several fields. Each field's length is included, so that moving a byte to the next field changes the
+/// digest.
 pub fn of_fields(fields: &[&[u8]]) -> Digest {
     let mut hasher = Sha256::new();
     for field in fields {
@@ -20,7 +21,7 @@
     hasher.finalize().into()
 }
 
-/// The first 128 bits of a digest, for ids that are derived rather than drawn.
+/// Returns the first 128 bits of a digest, for derived ids.
 pub fn prefix(digest: &Digest) -> u128 {
     digest[..16]
         .iter()
--- a/crates/tinbank-base/src/event.rs
+++ b/crates/tinbank-base/src/event.rs
@@ -1,4 +1,4 @@
-//! Typed events of the time line. See `docs/design/timeline.md`.
+//! Events of the timeline. See `docs/design/timeline.md`.
 
 use std::borrow::Cow;
 
@@ -6,46 +6,40 @@
 
 use crate::{clock::Stamp, id, outcome};
 
-/// One event at one process.
+/// An event at a process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Event {
-    /// When, in causal order.
+    /// Time and causal order.
     pub stamp: Stamp,
-    /// Where.
+    /// The process at which it happened.
     pub process: id::Process,
-    /// What it is about.
     #[serde(flatten)]
     pub subject: Subject,
-    /// What happened.
     #[serde(flatten)]
     pub kind: Kind,
 }
 
-/// What an event is about. Ids are written the way they appear in URLs and headers.
+/// The subject of an event. Ids are written as they appear in URLs and headers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Subject {
-    /// The online request or the attempt of an item.
+    /// The online request or the attempt at an item.
     #[serde(with = "wide", skip_serializing_if = "Option::is_none")]
     pub request: Option<id::Request>,
-    /// The batch job.
     #[serde(with = "wide", skip_serializing_if = "Option::is_none")]
     pub job: Option<id::Job>,
-    /// The item of the job.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub item: Option<id::Item>,
-    /// The upstream.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub upstream: Option<id::Upstream>,
-    /// The work shard.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub shard: Option<id::Shard>,
-    /// Another process.
+    /// Another process involved.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub peer: Option<id::Process>,
 }
 
-/// What happened.
+/// Kind of an event.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Kind {
@@ -55,109 +49,100 @@
     Ready,
     /// The process is leaving.
     Leaving,
-    /// The process has finished what it had.
+    /// The process has finished its remaining work.
     Drained,
     /// A request or job was accepted.
     Accepted {
-        /// Whose.
         customer: id::Customer,
-        /// For which service.
         service: id::Service,
     },
     /// A request or job was refused or failed.
     Refused {
-        /// Why.
         code: outcome::Code,
-        /// Whether it ran.
         ran: outcome::Ran,
     },
     /// An upstream was chosen.
     Routed {
-        /// Why this one.
+        /// Reason for the choice.
         reason: Cow<'static, str>,
     },
-    /// The first token was passed on.
+    /// The first token was forwarded to the caller.
     FirstToken,
     /// The work is sent again.
     Retried {
-        /// How often it has been sent by now.
+        /// Number of attempts so far.
         attempt: u16,
-        /// Why.
         reason: String,
     },
-    /// A stream goes on at another upstream.
+    /// A stream is resumed at another upstream.
     Resumed {
-        /// Tokens that the caller has.
+        /// Number of tokens that the caller already has.
         from: u32,
     },
-    /// The whole answer was passed on.
+    /// The complete answer was forwarded to the caller.
     Answered {
-        /// Tokens in it; 0 for plain services.
+        /// Number of its tokens; 0 for plain services.
         tokens: u32,
     },
-    /// The caller went away or cancelled.
+    /// The caller disconnected or cancelled.
     Cancelled,
-    /// A job's head is durable and counts.
+    /// A job was committed: its head is durable and valid.
     Committed {
-        /// How many items it has.
+        /// Number of items.
         items: id::Item,
     },
     /// An item has ended.
     Completed {
-        /// Whether it has an answer.
+        /// Whether it was answered.
         answered: bool,
-        /// How many times it was sent.
+        /// Number of times it was sent.
         attempts: u16,
     },
-    /// A batch item was taken off an engine for the sake of online requests.
+    /// A batch item was removed from an engine in favor of online requests.
     Preempted,
     /// Batch credits for an engine changed.
     Credits {
-        /// How many there are now.
         credits: u16,
     },
     /// A lease was taken.
     LeaseTaken {
-        /// Its term.
         epoch: id::Epoch,
     },
-    /// A lease was given back.
+    /// A lease was released.
     LeaseReleased {
-        /// Its term.
         epoch: id::Epoch,
     },
     /// A lease was lost to another process.
     LeaseLost {
-        /// The other's term.
+        /// Term of the other process.
         epoch: id::Epoch,
     },
-    /// The configuration up to before an offset is in force.
+    /// The configuration was applied.
     Configured {
-        /// The offset.
+        /// End offset (exclusive) of the applied configuration stream.
         config: id::Offset,
     },
-    /// A peer is suspected.
+    /// A peer is suspected to have failed.
     Suspected,
-    /// A peer is held for dead.
+    /// A peer is considered dead.
     Died,
-    /// A peer was heard of (again).
+    /// A peer joined or responds again.
     Joined,
-    /// A peer said that it leaves.
+    /// A peer announced that it is leaving.
     PeerLeaving,
-    /// An upstream is no longer given work.
+    /// An upstream gets no more work because it is leaving.
     UpstreamLeaving,
-    /// An upstream is not given work for a while, for it failed.
+    /// An upstream temporarily gets no work because it failed.
     Ejected,
-    /// An ejected upstream is given work again.
+    /// An ejected upstream gets work again.
     Returned,
-    /// An order was given to an engine.
+    /// An order was sent to an engine.
     Ordered {
-        /// Its fencing number.
         fence: id::Fence,
     },
-    /// The platform's log can't be reached.
+    /// The platform's log is unreachable.
     LogLost,
-    /// The platform's log can be reached again.
+    /// The platform's log is reachable again.
     LogBack,
 }
 
--- a/crates/tinbank-base/src/frame/credit.rs
+++ b/crates/tinbank-base/src/frame/credit.rs
@@ -1,57 +1,53 @@
-//! Messages of admission control: how many batch requests may sit in an engine.
+//! Messages of admission control, which limits the batch requests in each engine.
 //!
-//! Clocks are not shared, so a grant carries how long it holds; the receiver turns it into a deadline
-//! when it reads the frame. See `docs/design/admission.md`.
+//! Clocks are not synchronized, so a grant states how long it is valid; the receiver turns this into a deadline on receipt. See `docs/design/admission.md`.
 
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
 
 use crate::id;
 
-/// Online requests that one process has in an engine.
+/// Number of online requests that a process has in an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Which engine.
     pub upstream: id::Upstream,
-    /// How many online requests are in flight there.
+    /// Number of online requests in flight.
     pub online: u16,
 }
 
-/// How many batch requests a process would like to have in an engine for one customer.
+/// Number of batch requests that a process could run in an engine for one customer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Wish {
-    /// Which engine.
     pub upstream: id::Upstream,
-    /// For which customer.
     pub customer: id::Customer,
-    /// How many it could use at once, those it has included.
+    /// Number of credits it could use at once, including those it has.
     pub wanted: u16,
-    /// Milliseconds until the earliest of them is due; 0 when overdue.
+    /// Milliseconds until the earliest of the requests is due; 0 if overdue.
     pub due_in_ms: u32,
 }
 
-/// Leave to have up to `credits` batch requests in an engine.
+/// Permission to have up to `credits` batch requests in an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// Which engine.
     pub upstream: id::Upstream,
-    /// Rises with each grant or withdrawal of one controller for one holder; a lower one came late and is dropped.
+    /// Increases with each grant or withdrawal of a controller for a holder. A message with a lower number is outdated and
+    /// dropped.
     pub round: u64,
-    /// How many in all, not how many more. Fewer than in flight means: cancel the difference.
+    /// Total number of credits. If more requests are in flight, the holder cancels the excess.
     pub credits: u16,
-    /// How long the grant holds, in milliseconds from its receipt.
+    /// Validity of the grant in milliseconds from its receipt.
     pub holds_ms: u16,
 }
 
-/// What admission control says.
+/// A message of admission control.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// From online processes to an engine's controllers, whenever the numbers change.
+    /// Sent by online processes to an engine's controllers whenever the numbers change.
     Load(SmallVec<[Load; 4]>),
-    /// From batch processes to an engine's controller.
+    /// Sent by batch processes to an engine's controller.
     Wish(SmallVec<[Wish; 2]>),
-    /// From an engine's controller to batch processes.
+    /// Sent by an engine's controller to batch processes.
     Grant(SmallVec<[Grant; 4]>),
-    /// From the second controller in rank: no more than this for now. It never raises what the first one gave.
+    /// Sent by the second-ranked controller to lower the credits. It never raises what the first one granted.
     Withdraw(SmallVec<[Grant; 4]>),
 }
--- a/crates/tinbank-base/src/frame/datagram.rs
+++ b/crates/tinbank-base/src/frame/datagram.rs
@@ -1,4 +1,4 @@
-//! The datagram: header, body and MAC.
+//! Datagrams between processes, and the signing of frames.
 
 use std::net::SocketAddr;
 
@@ -12,41 +12,38 @@
 
 /// Version of the frame format that this build writes.
 pub const VERSION: u8 = 1;
-/// Largest datagram sent, in bytes: it passes any path unfragmented.
+/// Largest datagram sent, in bytes; small enough to avoid fragmentation.
 pub const MAX_BYTES: usize = 1_200;
 /// Bytes of the truncated MAC at the end of a frame.
 pub const MAC_BYTES: usize = 16;
 
-/// A frame between two processes.
+/// A datagram between two processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// Who sent it.
     pub sender: Writer,
-    /// Counts the sender's frames, so that a replayed one is dropped.
+    /// Counter of the sender's frames, by which replayed ones are dropped.
     pub sequence: u64,
-    /// When, in causal order.
+    /// Time and causal order.
     pub stamp: Stamp,
-    /// What it says.
     pub body: Body,
 }
 
-/// What a datagram says.
+/// Content of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// The sender lives; news of others.
+    /// Heartbeat of the sender, with updates about other processes.
     Heartbeat(Box<Heartbeat>),
-    /// Batch credits: wishes, grants, withdrawals and online load.
+    /// Message about batch credits.
     Credit(credit::Message),
-    /// Limits over all entry hosts: claims and grants.
+    /// Message about limits that hold over all entry hosts.
     Demand(demand::Message),
 }
 
-/// A key for MACs, with the number that frames name it by. Two are valid at a time while a key is changed.
+/// A MAC key. Two keys are valid at a time during a key rotation.
 #[derive(Clone)]
 pub struct Key {
-    /// Its number.
+    /// Number that identifies the key in frames.
     pub number: u8,
-    /// Its bytes.
     pub secret: [u8; 32],
 }
 
@@ -56,19 +53,19 @@
     }
 }
 
-/// The keys that a process accepts; the first one signs.
+/// The keys that a process accepts; it signs with the first one.
 pub type Keys = SmallVec<[Key; 2]>;
 
 /// Why a frame was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum Error {
-    /// Shorter than its header and MAC.
+    /// The frame is shorter than its header and MAC.
     #[error("the frame is too short")]
     Short,
-    /// Of a version that this build can't read.
+    /// The frame has a version that this build can't read.
     #[error("the frame has version {0}")]
     Version(u8),
-    /// Signed by a key that we don't have.
+    /// The frame was signed with an unknown key.
     #[error("the frame names key {0}, which is not in the settings")]
     Key(u8),
     /// The MAC does not match.
@@ -79,15 +76,15 @@
     Malformed,
 }
 
-/// Signs an encoded body: version, key number, body, MAC.
+/// Encodes and signs a message as version, key number, body and MAC.
 ///
-/// Used for datagrams and for frames on TCP alike.
+/// Used for datagrams and for frames over TCP.
 pub fn seal<T: Serialize>(message: &T, key: &Key) -> Vec<u8> {
     seal_with(message, key, &[])
 }
 
-/// Signs a message for one receiver: its address goes into the MAC, at no cost in bytes, so that a frame that was
-/// sent to one process can't be replayed to another one.
+/// Encodes and signs a message for one receiver. The receiver's address is part of the MAC input, so that the frame can't be
+/// replayed to another process.
 pub fn seal_for<T: Serialize>(message: &T, key: &Key, to: SocketAddr) -> Vec<u8> {
     seal_with(message, key, &address_bytes(to))
 }
@@ -105,18 +102,18 @@
     bytes
 }
 
-/// Checks and decodes what [`seal`] wrote.
+/// Verifies and decodes a frame written by [`seal`].
 ///
 /// # Errors
-/// Any other input gives an error; none panics.
+/// Returns an error for any other input; never panics.
 pub fn open<T: for<'de> Deserialize<'de>>(bytes: &[u8], keys: &[Key]) -> Result<T, Error> {
     open_with(bytes, keys, &[])
 }
 
-/// Checks and decodes what [`seal_for`] wrote for the receiver at `address`.
+/// Verifies and decodes a frame written by [`seal_for`] for the receiver at `address`.
 ///
 /// # Errors
-/// Any other input gives an error, a frame for another receiver among them; none panics.
+/// Returns an error for any other input, including frames for another receiver; never panics.
 pub fn open_for<T: for<'de> Deserialize<'de>>(
     bytes: &[u8],
     keys: &[Key],
--- a/crates/tinbank-base/src/frame/demand.rs
+++ b/crates/tinbank-base/src/frame/demand.rs
@@ -1,6 +1,6 @@
-//! Messages of the limits that hold over all entry hosts: claims to a limit, and grants of parts of it.
+//! Messages about limits that hold over all entry hosts: hosts claim a part of a limit, and the limit's keeper grants it.
 //!
-//! Clocks are not shared, so a grant carries how long it holds, counted from when the claim that it answers was sent.
+//! Clocks are not synchronized, so a grant states how long it is valid, counted from when its claim was sent.
 //! See `docs/design/limits.md`.
 
 use serde::{Deserialize, Serialize};
@@ -8,62 +8,59 @@
 
 use crate::id;
 
-/// What one host asks for of one limit.
+/// A host's claim to a part of a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Which limit.
     #[serde(with = "postcard::fixint::le")]
     pub limit: id::Limit,
-    /// The limit itself, by the sender's configuration.
+    /// Value of the limit in the sender's configuration.
     pub most: u32,
-    /// What is asked for at the sender, refused requests included, in thousandths.
+    /// Demand at the sender including refused requests, in thousandths.
     pub demand_millis: u32,
-    /// The grant that the sender still has in force, in thousandths.
+    /// Grant that the sender still holds, in thousandths.
     pub held_millis: u32,
 }
 
-/// All that a host asks of one keeper now.
+/// The claims of a host to the limits of one keeper.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ask {
-    /// Rises with each ask of a process; an answer to an earlier one than the last is dropped.
+    /// Increases with each request of a process. An answer to an earlier request than the latest is dropped.
     pub round: u32,
-    /// What for.
     pub claims: SmallVec<[Claim; 4]>,
 }
 
 /// The answer to one claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
-    /// How much of the limit, in thousandths, besides what each host has without asking.
+    /// Granted part of the limit in thousandths, in addition to each host's base share.
     pub millis: u32,
-    /// How long it holds, in seconds from when the claim was sent; 0 if nothing is granted for now.
+    /// Validity in seconds from when the claim was sent; 0 if nothing is granted.
     pub holds_s: u16,
 }
 
-/// The answer to an [`Ask`], its parts in the order of the claims.
+/// The answer to an [`Ask`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// Round of the ask.
+    /// Round of the [`Ask`].
     pub round: u32,
     /// Parts in the order of the claims.
     pub parts: SmallVec<[Part; 4]>,
 }
 
-/// Limits that a host should ask for again.
+/// A request to claim limits again.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Recall {
-    /// Which limits.
     pub limits: SmallVec<[id::Limit; 4]>,
 }
 
-/// What is said of limits.
+/// A message about limits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// From a host with demand to a limit's keeper.
+    /// Sent by a host with demand to a limit's keeper.
     Ask(Ask),
-    /// From the keeper.
+    /// Sent by the keeper to the host.
     Grant(Grant),
-    /// From the keeper to a host that has more than its part while another one lacks, or that lacks what another one has
-    /// given back: ask for these limits again now.
+    /// Sent by the keeper to a host that holds more than its share while another host needs it, or that can get a part that
+    /// another host has returned.
     Recall(Recall),
 }
--- a/crates/tinbank-base/src/frame/heartbeat.rs
+++ b/crates/tinbank-base/src/frame/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: who lives, who leaves, how far the configuration is.
+//! Heartbeats: liveness, membership updates and the state of the configuration.
 
 use std::net::SocketAddr;
 
@@ -7,80 +7,72 @@
 
 use crate::{id, record::Writer};
 
-/// What a process says of itself.
+/// Lifecycle phase of a process, as reported by itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Phase {
-    /// Not ready yet.
     Starting,
-    /// Serves.
     Ready,
-    /// Finishes what it has and takes no more.
+    /// Finishes its remaining work and accepts no more.
     Leaving,
 }
 
-/// What is believed of a process. Of two claims on the same incarnation and refutation the larger one holds; the
-/// process itself contradicts it with a larger refutation.
+/// Health of a process, as seen by other processes. Of two claims about the same incarnation and refutation, the larger one
+/// wins. The process itself overrides it with a larger refutation number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Health {
-    /// Heard of lately.
+    /// Responsive.
     Alive,
-    /// Silent for too long.
+    /// Unresponsive.
     Suspect,
-    /// Said that it leaves.
+    /// Announced that it is leaving.
     Leaving,
-    /// Silent since it was suspected.
+    /// Unresponsive since it was suspected.
     Dead,
 }
 
-/// News of one process.
+/// An update about one process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
-    /// Which process and start.
     pub member: Writer,
-    /// How often that start has contradicted a suspicion by then; news with a larger number is later.
+    /// Number of suspicions that this incarnation has refuted. An update with a larger number is newer.
     pub refutation: u32,
-    /// What is believed of it.
     pub health: Health,
-    /// What it said of itself, as far as is known.
+    /// Last known phase.
     pub phase: Phase,
-    /// Where it takes frames.
+    /// Address for frames.
     pub peer: SocketAddr,
-    /// Where it takes HTTP requests.
+    /// Address for HTTP requests.
     pub http: SocketAddr,
-    /// Where it stands.
     pub failure_domain: id::FailureDomain,
 }
 
-/// News of an upstream that is leaving.
+/// An update about an upstream that is leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Leaving {
-    /// Which upstream.
     pub upstream: id::Upstream,
-    /// Version of the host list that the upstream was last seen live in; a later list that has it live again wins.
+    /// Version of the latest host list in which the upstream was live. A later list in which it is live overrides the update.
     pub list: u64,
 }
 
-/// A heartbeat.
+/// Heartbeat of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// What the sender says of itself.
     pub phase: Phase,
-    /// How often the sender has contradicted a suspicion since its start.
+    /// Number of suspicions that the sender has refuted since its start.
     pub refutation: u32,
-    /// Where the sender takes frames.
+    /// Address for frames.
     pub peer: SocketAddr,
-    /// Where the sender takes HTTP requests.
+    /// Address for HTTP requests.
     pub http: SocketAddr,
-    /// Where the sender stands.
     pub failure_domain: id::FailureDomain,
-    /// The configuration stream up to before this offset is in force at the sender.
+    /// End offset (exclusive) of the configuration that the sender has applied.
     pub config: id::Offset,
-    /// The sender's use of its time, in per mille.
+    /// Utilization of the sender, in per mille.
     pub load: u16,
-    /// News of others, the freshest first.
+    /// Updates about other processes, newest first.
     pub news: SmallVec<[MemberUpdate; 4]>,
-    /// News of upstreams.
+    /// Updates about upstreams.
     pub leaving: SmallVec<[Leaving; 4]>,
-    /// Whether the receiver should answer with a heartbeat of its own.
+    /// Whether the receiver should reply with a heartbeat.
     pub answer: bool,
 }
--- a/crates/tinbank-base/src/frame/mod.rs
+++ b/crates/tinbank-base/src/frame/mod.rs
@@ -1,4 +1,4 @@
-//! Frames between processes of the system: small datagrams and requests over TCP.
+//! Frames between processes: datagrams, and requests over TCP.
 //!
 //! Every frame carries a version and a keyed MAC; see `docs/design/peers.md`.
 
--- a/crates/tinbank-base/src/frame/request.rs
+++ b/crates/tinbank-base/src/frame/request.rs
@@ -1,5 +1,5 @@
-//! Requests between processes over TCP. The asker sends one [`Request`]; the answer is any number of
-//! [`Response`] frames of which the last one is final.
+//! Requests between processes over TCP. The client sends one [`Request`]; the server answers with one or more [`Response`]
+//! frames, of which the last one is final.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -12,54 +12,48 @@
     record::{claim, work},
 };
 
-/// Largest frame taken from a peer, in bytes.
+/// Largest frame accepted from a peer, in bytes.
 pub const MAX_BYTES: usize = 8 << 20;
 
-/// What one process asks of another.
+/// A request to another process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Request {
-    /// State of a job. To the owner of its head's shard.
+    /// Returns the state of a job. Sent to the owner of the head's shard.
     Job {
-        /// Which job.
         job: id::Job,
     },
-    /// Whether a head counts, asked after its append; waits until the fold has passed `offset`.
+    /// Returns whether an appended head is valid. Waits until the fold has passed `offset`.
     Committed {
-        /// Which job.
         job: id::Job,
-        /// The shard of the head.
+        /// Shard of the head.
         shard: id::Shard,
         /// Offset of the head.
         offset: id::Offset,
     },
-    /// Stops a job. Answered once the cancel is read back in the head's shard.
+    /// Cancels a job. Answered once the cancel record was read back from the head's shard.
     Cancel {
-        /// Which job.
         job: id::Job,
     },
-    /// Results of a job's items in one shard, from a chunk on.
+    /// Returns the results of a job's items in one shard, starting at a chunk.
     Results {
-        /// Which job.
         job: id::Job,
-        /// Which shard.
         shard: id::Shard,
-        /// First chunk wanted.
+        /// First chunk to return.
         from: id::Chunk,
-        /// Only the item of this name, if given.
+        /// Restricts the results to the item with this name.
         custom_id: Option<String>,
     },
     /// Claims an online request.
     Claim(claim::Claim),
-    /// Settles a claimed request.
+    /// Stores the result of a claimed request.
     Settle(claim::Settled),
-    /// The configuration stream's entries from an offset on, as far as the peer has them.
+    /// Returns the entries of the configuration stream from an offset on, as far as the peer has them.
     Config {
-        /// First offset wanted.
+        /// First offset to return.
         from: id::Offset,
     },
-    /// How many items of a customer are pending in the shards that the asked process owns.
+    /// Returns the number of a customer's pending items in the shards that the server owns.
     Pending {
-        /// Whose.
         customer: id::Customer,
     },
 }
@@ -67,86 +61,82 @@
 /// State and counts of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// The job's head.
     pub head: work::Head,
-    /// Whether it was cancelled.
     pub cancelled: bool,
-    /// Parts of the shards that have finished, as far as the owner of the head's shard has read.
+    /// Final counts of the shards that have finished, as far as the owner of the head's shard has read.
     pub parts: Vec<work::Part>,
 }
 
 /// Counts of a job's items in one shard.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Count {
-    /// Items not yet ended.
+    /// Items that have not ended.
     pub pending: id::Item,
-    /// Items with an answer.
+    /// Items that were answered.
     pub answered: id::Item,
-    /// Items that ended as failed.
+    /// Items that failed.
     pub failed: id::Item,
-    /// Items stopped by a cancel.
+    /// Items that were cancelled before they ended.
     pub cancelled: id::Item,
 }
 
-/// One result.
+/// Result of an item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outcome {
     /// The caller's name for the item.
     pub custom_id: String,
-    /// Its end; `None` while it is pending, or if a cancel came first.
+    /// How the item ended; `None` if it is pending or was cancelled before.
     pub completion: Option<work::Completion>,
 }
 
-/// What became of a claim.
+/// Outcome of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Claimed {
-    /// The asker may send the request.
+    /// The claimer may send the request.
     Won,
-    /// It has run before; this is its stored answer.
+    /// The request has already run; contains the stored answer.
     Settled(Result<Bytes, claim::Stored>),
-    /// The first request is still running.
+    /// The first request with this key is still running.
     Running,
     /// The key was used with another body.
     OtherBody {
-        /// Digest of the first one's body.
+        /// Digest of the first request's body.
         first: Digest,
     },
-    /// The claimer is gone; it can't be learned whether the request ran.
+    /// The first claimer is gone, and it is unknown whether its request ran.
     Unknown,
 }
 
-/// An answer frame.
+/// A response frame.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Response {
     /// State of a job; final.
     Job(Option<Status>),
-    /// The head that counts for the job; final.
+    /// The valid head of the job; final.
     Committed(Option<work::Head>),
-    /// The job is cancelled; `false` when it had ended before; final.
+    /// Whether the job was cancelled; `false` if it had already ended; final.
     Cancelled(bool),
     /// Some results; more follow.
     Results(Vec<Outcome>),
-    /// Counts of the shard; final after results.
+    /// Counts of the shard, sent after the results; final.
     Counted(Count),
-    /// What became of a claim; final.
+    /// Outcome of a claim; final.
     Claimed(Claimed),
-    /// Whether the settlement counts; final.
+    /// Whether the settlement was accepted; final.
     Settled(bool),
-    /// Some entries of the configuration stream, in one frame or several. An entry that holds a part of a checkpoint
-    /// as of its own offset does not stand in the stream: the answering process made it in place of older entries.
+    /// Entries of the configuration stream, in one or more frames. An entry that contains a checkpoint part as of its own
+    /// offset is not in the stream; the server created it to replace older entries.
     Config(Vec<Entry>),
-    /// The asked process does not own the shard; final. The asker tries the owner it names, or the next in rank.
+    /// The server does not own the shard; final. The client tries the named owner, or the next process in rank.
     #[serde(rename = "Elsewhere")]
     NotOwner(Option<id::Process>),
-    /// It did not work; final.
+    /// The request failed; final.
     Failed {
-        /// Why.
         code: Code,
-        /// Whether it took effect.
+        /// Whether the request may have taken effect.
         ran: Ran,
-        /// What happened.
         message: String,
     },
-    /// Pending items of a customer in the shards that the answering process owns; final.
+    /// Number of a customer's pending items in the shards that the server owns; final.
     Pending(u64),
 }
--- a/crates/tinbank-base/src/id.rs
+++ b/crates/tinbank-base/src/id.rs
@@ -1,5 +1,5 @@
-//! Identifiers. They are aliases, so that a signature says what a number means while the
-//! number keeps the standard traits and the shortest encoding on the wire.
+//! Identifiers. They are type aliases, which document signatures and keep the standard traits and the compact encoding of
+//! the underlying type.
 
 use std::{fmt, sync::Arc};
 
@@ -9,37 +9,37 @@
 pub type Host = u32;
 /// Number of an upstream (an engine or a plain service instance), from the platform's host list.
 pub type Upstream = u32;
-/// Name that an upstream gives itself at each of its starts, where the platform names upstreams by text.
+/// Unique name of one start of an upstream, on platforms that identify upstreams by name.
 pub type Instance = Arc<str>;
-/// Name of a failure domain, as the platform writes it.
+/// Name of a failure domain, as given by the platform.
 pub type FailureDomain = String;
 /// Name of a customer in the configuration.
 pub type Customer = String;
-/// Name of a service in the configuration; callers write it in the `model` field.
+/// Name of a service in the configuration, given by callers in the `model` field.
 pub type Service = String;
-/// Label that joins services to the upstreams which can run them.
+/// Label that assigns services to the upstreams that can run them.
 pub type Pool = String;
-/// Identifies one start of a process; a later start has a larger number (microseconds since 1970).
+/// Number of one start of a process, in microseconds since the Unix epoch. Later starts have larger numbers.
 pub type Incarnation = u64;
-/// A batch job. Derived from the customer and the idempotency key when there is one.
+/// Identifier of a batch job, derived from the customer and the idempotency key if there is one.
 pub type Job = u128;
 /// Index of a chunk within its job.
 pub type Chunk = u32;
-/// Index of an item within its job, in the order in which the caller sent the lines.
+/// Index of an item within its job, in the order of the submitted lines.
 pub type Item = u32;
 /// Index of a work shard.
 pub type Shard = u16;
 /// Position of a record in a log stream.
 pub type Offset = u64;
-/// Offset of the configuration record that made the object what it is.
+/// Offset of the configuration record that last changed an object.
 pub type Revision = u64;
-/// Identifies one online request or one attempt of an item, on frames, answers and events.
+/// Identifier of an online request or of an attempt at an item, in frames, answers and events.
 pub type Request = u128;
-/// Number of a lease term; each successful take raises it.
+/// Number of a lease term, increased by each successful take.
 pub type Epoch = u64;
-/// Identifies one limit of a customer: a hash of the customer, of what is limited and of how.
+/// Identifier of a customer's limit: a hash of the customer, the limited resource and the kind of limit.
 pub type Limit = u64;
-/// Fencing number of an order to an engine: the offset of the lease record it was given under.
+/// Fencing number of an order to an engine: the offset of the lease record under which it was sent.
 pub type Fence = u64;
 
 /// Kind of process that runs on an entry host.
@@ -48,11 +48,11 @@
 pub enum Role {
     /// Serves callers' online requests.
     Online,
-    /// Takes in jobs, owns work shards and runs items.
+    /// Accepts jobs, owns work shards and runs items.
     Batch,
-    /// Gives orders to engines.
+    /// Sends orders to engines.
     Fleet,
-    /// A command line that runs once.
+    /// Runs a command-line tool.
     Tool,
 }
 
@@ -70,9 +70,7 @@
 /// One process of the system: a role on a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Process {
-    /// Host that the process runs on.
     pub host: Host,
-    /// What the process does there.
     pub role: Role,
 }
 
@@ -82,14 +80,14 @@
     }
 }
 
-/// Formats a 128-bit id the way it appears in URLs, headers and logs: 32 hexadecimal digits.
+/// Formats a 128-bit id as it appears in URLs, headers and logs: 32 hexadecimal digits.
 pub fn format_wide(id: u128) -> String {
     format!("{id:032x}")
 }
 
-/// Reads an id written by [`format_wide`].
+/// Parses an id written by [`format_wide`].
 ///
-/// Returns `None` when the text is not exactly 32 hexadecimal digits.
+/// Returns `None` unless the text is exactly 32 hexadecimal digits.
 pub fn parse_wide(text: &str) -> Option<u128> {
     let whole = text.len() == 32 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
     whole.then(|| u128::from_str_radix(text, 16).ok()).flatten()
--- a/crates/tinbank-base/src/lib.rs
+++ b/crates/tinbank-base/src/lib.rs
@@ -1,7 +1,7 @@
-//! Ids, records, frames and the platform's trait objects, which every other crate speaks in.
+//! Ids, records, frames and platform traits shared by all crates.
 //!
-//! The crate does no I/O and depends on nothing of ours, so that a decision written against it
-//! can be tested without a network. See `docs/architecture.md` for the map of crates.
+//! The crate does no I/O and depends on no other crate of the workspace, so that code written against it can be tested
+//! without a network. See `docs/architecture.md` for the map of crates.
 
 pub mod cause;
 pub mod clock;
--- a/crates/tinbank-base/src/outcome.rs
+++ b/crates/tinbank-base/src/outcome.rs
@@ -1,7 +1,7 @@
-//! What a caller is told when there is no answer, and what is known of whether the work ran.
+//! Errors reported to callers, including whether the request may have run.
 //!
-//! `Ran::No` is a promise (see `docs/design/errors.md`): it is only given where nothing was written
-//! to an upstream, or where the upstream itself said that it did not run the request.
+//! `Ran::No` is a guarantee (see `docs/design/errors.md`): it is only used if nothing was written to an upstream, or if the
+//! upstream reported that it did not run the request.
 
 use std::time::SystemTime;
 
@@ -12,25 +12,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ran {
-    /// It provably did not run.
+    /// It did not run.
     No,
     /// It may have run.
     Unknown,
-    /// It ran, and its answer is final.
+    /// It ran, and its result is final.
     Yes,
 }
 
-/// Machine-readable reason of a refusal or failure. The JSON form is part of the callers' interface.
+/// Machine-readable error code. Its JSON form is part of the API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Code {
-    /// The request is malformed; `message` names the place.
+    /// The request is malformed; the message names the position.
     BadRequest,
-    /// No key, or one that is not known.
+    /// The API key is missing or unknown.
     Unauthorized,
-    /// The key is known but may not do this.
+    /// The API key does not permit this.
     Forbidden,
-    /// No such service, job or item for this customer.
+    /// The customer has no such service, job or item.
     NotFound,
     /// The body is larger than the limit.
     TooLarge,
@@ -40,30 +40,30 @@
     InProgress,
     /// The customer is over one of its limits.
     LimitReached,
-    /// There is no capacity now.
+    /// There is currently no capacity.
     Overloaded,
-    /// No upstream can take the request now.
+    /// No upstream can currently accept the request.
     NoUpstream,
-    /// The platform's log can't be reached, and the request needs it.
+    /// The request needs the platform's log, which is unreachable.
     LogUnavailable,
     /// The process is starting or stopping.
     NotReady,
     /// The deadline passed.
     Timeout,
-    /// The upstream failed in the midst of the answer.
+    /// The upstream failed while it sent the answer.
     UpstreamFailed,
-    /// The upstream refused the request as malformed; asking again won't help.
+    /// The upstream rejected the request as malformed; a retry won't help.
     UpstreamRejected,
-    /// The request was sent and its outcome can't be learned.
+    /// The request was sent, but its outcome is unknown.
     OutcomeUnknown,
     /// The job or request was cancelled.
     Cancelled,
-    /// A fault of ours.
+    /// An internal error.
     Internal,
 }
 
 impl Code {
-    /// HTTP status that goes with the code.
+    /// Returns the HTTP status for the code.
     pub fn status(self) -> u16 {
         match self {
             Self::BadRequest => 400,
@@ -83,28 +83,26 @@
     }
 }
 
-/// The one error body that callers and operators see.
+/// The body of every error response to callers and operators.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{message}")]
 pub struct Failure {
-    /// Why.
     pub code: Code,
-    /// Whether the work ran.
     pub ran: Ran,
-    /// What happened and where, for people.
+    /// Human-readable description of what happened and where.
     pub message: String,
-    /// What to do about it.
+    /// Suggested action.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub help: Option<String>,
-    /// When to ask again; the edge turns it into `Retry-After`.
+    /// When to retry; sent as `Retry-After`.
     #[serde_as(as = "Option<TimestampMilliSeconds<i64>>")]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_at: Option<SystemTime>,
 }
 
 impl Failure {
-    /// A failure of which it is known that nothing ran.
+    /// Creates a failure of work that did not run.
     pub fn not_run(code: Code, message: impl Into<String>) -> Self {
         Self {
             code,
@@ -115,7 +113,7 @@
         }
     }
 
-    /// A failure of which it is not known whether the work ran.
+    /// Creates a failure of work that may have run.
     pub fn unknown(code: Code, message: impl Into<String>) -> Self {
         Self {
             ran: Ran::Unknown,
@@ -123,7 +121,7 @@
         }
     }
 
-    /// Adds what the reader should do.
+    /// Sets the suggested action.
     pub fn help(self, help: impl Into<String>) -> Self {
         Self {
             help: Some(help.into()),
@@ -131,7 +129,7 @@
         }
     }
 
-    /// Adds when to ask again.
+    /// Sets the time of the next retry.
     pub fn retry_at(self, at: SystemTime) -> Self {
         Self {
             retry_at: Some(at),
--- a/crates/tinbank-base/src/peer.rs
+++ b/crates/tinbank-base/src/peer.rs
@@ -1,5 +1,5 @@
-//! What the slices ask of the connection between processes, as trait objects. `tinbank-peer` moves the frames and
-//! `tinbank-membership` knows who lives.
+//! Traits for the communication between processes. `tinbank-peer` transports the frames and `tinbank-membership` tracks the
+//! members.
 
 use std::{fmt, net::SocketAddr, sync::Arc, time::Instant};
 
@@ -16,18 +16,16 @@
     record::Writer,
 };
 
-/// Why a peer gave no whole answer.
+/// Error of a request to a peer.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// No connection: the request was not sent.
+    /// No connection was made; the request was not sent.
     #[error("no connection to {0}")]
     Connect(SocketAddr),
-    /// The connection broke, or the deadline passed, after the request was sent.
+    /// The connection was lost or the deadline passed after the request was sent.
     #[error("no answer from {to}: {reason}")]
     Lost {
-        /// Who was asked.
         to: SocketAddr,
-        /// What happened.
         reason: String,
     },
 }
@@ -35,7 +33,7 @@
 /// Sends frames to other processes.
 #[async_trait]
 pub trait Peers: Send + Sync + fmt::Debug {
-    /// Sends a request and returns all frames of the answer, the final one last.
+    /// Sends a request and returns all frames of the response; the final one is last.
     async fn ask(
         &self,
         to: SocketAddr,
@@ -53,44 +51,42 @@
 /// Answers the requests of other processes.
 #[async_trait]
 pub trait Answer: Send + Sync {
-    /// Answers one request; the last frame is the final one.
+    /// Answers a request; the last frame of the response is final.
     async fn answer(&self, from: Writer, request: Request) -> BoxStream<'static, Response>;
 
-    /// Takes in a datagram about batch credits.
+    /// Handles a datagram about batch credits.
     fn on_credit(&self, from: Writer, message: credit::Message);
 
-    /// Takes in a datagram about limits. Only online processes keep any, so that others need not say that they drop it.
+    /// Handles a datagram about limits. The default ignores it, since only online processes enforce limits.
     fn on_demand(&self, _from: Writer, _message: demand::Message) {}
 }
 
-/// A process that we know of.
+/// A known process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Which process and start.
     pub writer: Writer,
-    /// What is believed of it.
+    /// Health as determined by failure detection.
     pub health: Health,
-    /// What it says of itself.
+    /// Phase as reported by the process itself.
     pub phase: Phase,
-    /// Where it takes frames.
+    /// Address for frames.
     pub peer: SocketAddr,
-    /// Where it takes HTTP requests.
+    /// Address for HTTP requests.
     pub http: SocketAddr,
-    /// Where it stands.
     pub failure_domain: id::FailureDomain,
-    /// How far its configuration is.
+    /// End offset of the configuration that it has applied.
     pub config: id::Offset,
 }
 
-/// Who is there, as known now. Soft: it may be stale.
+/// The known members. The view may be outdated.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Members {
-    /// All that are known, ourselves included, by process.
+    /// All known members including this process, ordered by process.
     pub members: Vec<Member>,
 }
 
 impl Members {
-    /// Members of a role that may get new work: alive and ready.
+    /// Returns the members of a role that may get new work: those that are alive and ready.
     pub fn ready(&self, role: id::Role) -> impl Iterator<Item = &Member> {
         self.members.iter().filter(move |member| {
             member.writer.process.role == role
@@ -99,7 +95,7 @@
         })
     }
 
-    /// The member of a process, if it is known.
+    /// Returns the member of a process, if it is known.
     pub fn get(&self, process: id::Process) -> Option<&Member> {
         self.members
             .iter()
@@ -107,8 +103,8 @@
     }
 }
 
-/// Gives the current view of who is there.
+/// Provides the current view of the members.
 pub trait Directory: Send + Sync + fmt::Debug {
-    /// The newest view.
+    /// Returns the latest view.
     fn members(&self) -> Arc<Members>;
 }
--- a/crates/tinbank-base/src/platform/hosts.rs
+++ b/crates/tinbank-base/src/platform/hosts.rs
@@ -1,4 +1,4 @@
-//! The platform's lagging list of live and leaving hosts and upstreams.
+//! The platform's list of live and leaving hosts and upstreams, which may be outdated.
 
 use std::{fmt, net::SocketAddr};
 
@@ -8,76 +8,70 @@
 
 use crate::id;
 
-/// Whether the platform wants a host or upstream used.
+/// State of a host or upstream on the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
     /// In use.
     Live,
-    /// To be left alone: it gets no new work.
+    /// Gets no new work.
     Leaving,
 }
 
-/// What kind of upstream it is.
+/// Kind of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
     /// A model engine.
     Engine,
-    /// A plain service; its calls may not be repeatable.
+    /// A plain service, whose calls may not be repeatable.
     Plain,
 }
 
 /// An upstream on the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Upstream {
-    /// Its number.
     pub upstream: id::Upstream,
-    /// Its name, for people.
+    /// Display name.
     pub name: String,
-    /// What it is.
     pub kind: Kind,
-    /// Pools it belongs to; services name a pool.
+    /// Pools that it belongs to; each service uses a pool.
     pub pools: SmallVec<[id::Pool; 2]>,
-    /// Where it takes HTTP requests.
+    /// Address for HTTP requests.
     pub address: SocketAddr,
-    /// Where it stands.
     pub failure_domain: id::FailureDomain,
-    /// Whether it refuses orders with a stale fencing number.
+    /// Whether it rejects orders with an outdated fencing number.
     pub checks_fence: bool,
-    /// How many requests it runs at once before they queue inside it, when the platform knows.
+    /// Number of requests that it runs at once before it queues more, if known.
     pub slots: Option<u32>,
-    /// Whether it may get work.
     pub state: State,
 }
 
-/// A process of ours on the list.
+/// A process of this system on the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Which process.
     pub process: id::Process,
-    /// Where it takes frames of other processes (UDP and TCP).
+    /// Address for frames of other processes (UDP and TCP).
     pub peer: SocketAddr,
-    /// Where it takes HTTP requests.
+    /// Address for HTTP requests.
     pub http: SocketAddr,
-    /// Where it stands.
     pub failure_domain: id::FailureDomain,
-    /// Whether the platform is taking the host away.
+    /// State of its host.
     pub state: State,
 }
 
-/// The list as the platform gives it: possibly some seconds old.
+/// A read of the list, which may be some seconds old.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct List {
-    /// Rises with every change.
+    /// Increases with every change.
     pub version: u64,
-    /// Upstreams, by number.
+    /// Upstreams, ordered by number.
     pub upstreams: Vec<Upstream>,
-    /// Processes of ours, by host and role.
+    /// Processes of this system, ordered by host and role.
     pub members: Vec<Member>,
 }
 
-/// Why the list could not be read.
+/// Error of a read of the list.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the host list can't be read: {0}")]
 pub struct Error(pub String);
@@ -88,8 +82,8 @@
     /// Reads the whole list.
     async fn list(&self) -> Result<List, Error>;
 
-    /// Reads the list if its version is another one than `known`; `None` if it is not. An adapter whose platform can tell
-    /// that without sending the list does better than this: a list of 370 hosts has some 350 KB.
+    /// Reads the list if its version differs from `known`; returns `None` otherwise. Adapters should override this if the
+    /// platform can compare versions without sending the list, which is large.
     async fn changed(&self, known: Option<u64>) -> Result<Option<List>, Error> {
         let list = self.list().await?;
         Ok((known != Some(list.version)).then_some(list))
--- a/crates/tinbank-base/src/platform/log.rs
+++ b/crates/tinbank-base/src/platform/log.rs
@@ -11,14 +11,14 @@
 
 use crate::id;
 
-/// Name of a log stream of ours.
+/// A log stream of this system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Stream {
-    /// Templates and customers; read by every process.
+    /// Configuration; read by every process.
     Config,
-    /// Leases of the order holders of `tinbank-fleet`.
+    /// Leases of the processes that send orders to engines, see `tinbank-fleet`.
     Fleet,
-    /// One shard of work; read by its owner only.
+    /// A work shard; read only by its owner.
     Work(id::Shard),
 }
 
@@ -32,58 +32,55 @@
     }
 }
 
-/// One record of a stream.
+/// An entry of a stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Where it stands.
     pub offset: id::Offset,
-    /// What was appended.
     pub payload: Bytes,
 }
 
-/// Part of a stream, as read.
+/// Result of a read.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
-    /// Records in offset order; empty when nothing came before the read's deadline.
+    /// Entries in offset order; empty if none was appended before the read's deadline.
     pub entries: Vec<Entry>,
-    /// Where to read on.
+    /// Offset of the next read.
     pub next: id::Offset,
-    /// The offset that the next append will get, as the service knew it when it answered. A reader has reached the
-    /// tail when `next == tail`.
+    /// Offset of the next append at the time of the answer. A reader has reached the tail when `next == tail`.
     pub tail: id::Offset,
 }
 
-/// What a stream still holds.
+/// Range of the offsets that a stream retains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bounds {
-    /// Offset of the oldest record kept.
+    /// Offset of the oldest retained entry.
     pub first: id::Offset,
-    /// The offset that the next append will get.
+    /// Offset of the next append.
     pub tail: id::Offset,
 }
 
-/// Why a call on the log did not give what was asked.
+/// Error of a call to the log.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// The call provably had no effect: the service could not be reached or refused it.
+    /// The service was unreachable or refused the call, which had no effect.
     #[error("the log is unavailable: {0}")]
     Unavailable(String),
     /// The answer was lost; an append may have taken effect.
     #[error("the log's answer was lost: {0}")]
     Unknown(String),
-    /// Over the append rate; the call had no effect.
+    /// The append rate was exceeded; the call had no effect.
     #[error("the log takes no more appends until {retry_at:?}")]
     Throttled {
-        /// When the service takes appends again.
+        /// When the service accepts appends again.
         retry_at: SystemTime,
     },
-    /// The records asked for are older than the retention.
+    /// The requested entries were removed by retention.
     #[error("the stream starts at {first}: older records are gone")]
     Trimmed {
-        /// Offset of the oldest record kept.
+        /// Offset of the oldest retained entry.
         first: id::Offset,
     },
-    /// The record is larger than the service takes; it had no effect.
+    /// The record is too large; the call had no effect.
     #[error("a record of {size} bytes is over the log's limit of {limit}")]
     TooLarge {
         /// Size of the record, in bytes.
@@ -91,22 +88,22 @@
         /// The service's limit, in bytes.
         limit: usize,
     },
-    /// The service answered something that is not its protocol.
+    /// The service sent an invalid answer.
     #[error("the log's answer can't be read: {0}")]
     Protocol(String),
 }
 
-/// The log service. Offsets of a stream rise by one from 0, without gaps.
+/// The log service. The offsets of a stream are consecutive and start at 0.
 #[async_trait]
 pub trait Log: Send + Sync + fmt::Debug {
-    /// Appends one record and returns its offset once it lasts.
+    /// Appends a record and returns its offset once it is durable.
     ///
     /// # Errors
-    /// Only [`Error::Unknown`] leaves open whether the record stands in the stream.
+    /// With [`Error::Unknown`] the record may have been appended, with any other error it was not.
     async fn append(&self, stream: Stream, payload: Bytes) -> Result<id::Offset, Error>;
 
-    /// Reads from `from` on, at most about `limit` bytes (at least one record). At the tail it waits for
-    /// records till `until`, then returns an empty page.
+    /// Reads about `limit` bytes, but at least one entry, starting at `from`. At the tail it waits for entries until `until`,
+    /// then returns an empty page.
     async fn read(
         &self,
         stream: Stream,
@@ -115,6 +112,6 @@
         until: Instant,
     ) -> Result<Page, Error>;
 
-    /// Tells what the stream holds now.
+    /// Returns the range of offsets that the stream currently retains.
     async fn bounds(&self, stream: Stream) -> Result<Bounds, Error>;
 }
--- a/crates/tinbank-base/src/platform/mod.rs
+++ b/crates/tinbank-base/src/platform/mod.rs
@@ -1,5 +1,4 @@
-//! What the platform gives, as small trait objects. Another wire form of the platform is one new
-//! adapter (`tinbank-platform` has the HTTP one, `tinbank-test-support` the one in memory).
+//! Traits for the platform's services. `tinbank-platform` implements them over HTTP, `tinbank-test-support` in memory.
 
 pub mod hosts;
 pub mod log;
--- a/crates/tinbank-base/src/platform/upstream.rs
+++ b/crates/tinbank-base/src/platform/upstream.rs
@@ -1,4 +1,4 @@
-//! Upstreams: model engines, which stream tokens, and plain services, which answer once.
+//! Upstreams: model engines, which stream tokens, and plain services, which send a single answer.
 
 use std::{fmt, net::SocketAddr, time::Instant};
 
@@ -11,25 +11,24 @@
 use super::weights;
 use crate::{id, outcome::Ran};
 
-/// Where to send a call.
+/// Destination of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Target {
-    /// Which upstream.
     pub upstream: id::Upstream,
-    /// Its HTTP address.
+    /// HTTP address.
     pub address: SocketAddr,
 }
 
-/// One call of an upstream.
+/// A call to an upstream.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Id that the upstream has to show on every part of its answer.
+    /// Id that the upstream has to include in every part of its answer.
     pub request: id::Request,
-    /// Name of the service, for the path of plain services.
+    /// Name of the service, used in the path of plain services.
     pub service: id::Service,
-    /// JSON body. For engines: a chat completion; `stream` is set by the adapter.
+    /// JSON body. For engines it is a chat completion; the adapter sets `stream`.
     pub body: Bytes,
-    /// Number of tokens that the caller already has; the engine goes on after them.
+    /// Number of tokens that the caller already has; the engine continues after them.
     pub resume_from: u32,
     /// When the caller stops waiting.
     pub deadline: Instant,
@@ -40,113 +39,108 @@
 pub enum Part {
     /// One token.
     Token {
-        /// Its place in the answer, from 0.
+        /// Index in the answer, from 0.
         index: u32,
-        /// Its text.
         text: String,
     },
-    /// The end marker: the answer is whole.
+    /// The end marker of a complete answer.
     End {
-        /// Why the engine stopped: `stop`, `length`.
+        /// Finish reason of the engine: `stop` or `length`.
         reason: String,
-        /// How many tokens the whole answer has.
+        /// Number of tokens of the complete answer.
         tokens: u32,
     },
 }
 
-/// Why a call gave no whole answer.
+/// Error of a call.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("upstream {upstream}: {kind}")]
 pub struct Error {
-    /// Which upstream.
     pub upstream: id::Upstream,
     /// Whether the call ran there.
     pub ran: Ran,
-    /// What happened.
     pub kind: Kind,
 }
 
-/// What went wrong with a call.
+/// Kind of an [`Error`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Kind {
-    /// No connection: nothing was written.
+    /// No connection was made; nothing was written.
     #[error("no connection: {0}")]
     Connect(String),
-    /// It said that it takes no new work for it is leaving; it did not run the call.
+    /// The upstream is leaving and accepts no new work; it did not run the call.
     #[error("it is leaving")]
     Leaving,
-    /// It said that it is full; it did not run the call.
+    /// The upstream is full; it did not run the call.
     #[error("it is full")]
     Full,
-    /// The answer broke off before its end marker.
+    /// The answer ended before its end marker.
     #[error("the answer broke off: {0}")]
     Cut(String),
-    /// A part of the answer carried another request's id, or a token came out of order.
+    /// A part of the answer has the id of another request, or a token is out of order.
     #[error("the answer is not ours: {0}")]
     Crossed(String),
     /// The deadline passed.
     #[error("the deadline passed")]
     Timeout,
-    /// It refused the body as malformed (4xx); asking again won't help.
+    /// The upstream rejected the body as malformed (4xx); a retry won't help.
     #[error("it refused the body with status {status}: {message}")]
     Rejected {
         /// HTTP status.
         status: u16,
-        /// What it said.
+        /// Message of the upstream.
         message: String,
     },
-    /// It failed (5xx) in running the call.
+    /// The upstream failed while it ran the call (5xx).
     #[error("it failed with status {status}: {message}")]
     Failed {
         /// HTTP status.
         status: u16,
-        /// What it said.
+        /// Message of the upstream.
         message: String,
     },
 }
 
-/// Load and contents of an engine as it reports them, some time ago.
+/// Load report of an engine, which may be outdated.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Requests being run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests waiting inside the engine.
+    /// Number of requests queued inside the engine.
     pub waiting: u32,
-    /// Requests it runs at once.
+    /// Number of requests that it runs at once.
     pub slots: u32,
-    /// What is loaded.
     pub loaded: SmallVec<[weights::Artifact; 2]>,
-    /// Whether it is leaving.
     pub leaving: bool,
-    /// Largest fencing number it has seen.
+    /// Largest fencing number that it has seen.
     pub fence: id::Fence,
 }
 
-/// What an engine is told to have loaded: desired state, so that repeating it is harmless.
+/// Desired set of loaded artifacts of an engine. Orders are idempotent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Offset of the lease record under which the order is given.
+    /// Offset of the lease record under which the order is sent.
     pub fence: id::Fence,
-    /// Everything that it should have loaded; the rest is to be unloaded.
+    /// Artifacts that should be loaded; all others are unloaded.
     pub loaded: SmallVec<[weights::Artifact; 2]>,
-    /// Leave for what it has to fetch.
+    /// Tickets for the artifacts that have to be fetched.
     pub tickets: SmallVec<[weights::Ticket; 2]>,
 }
 
-/// What became of an order.
+/// Outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// Taken.
+    /// Accepted.
     Taken,
-    /// Refused: the engine has seen a larger fencing number.
+    /// Rejected, since the engine has seen a larger fencing number.
     Stale {
         /// The larger number.
         seen: id::Fence,
     },
 }
 
-/// Parts of an answer as they come; the last is [`Part::End`] or an error.
+/// Stream of an answer's parts; the last one is [`Part::End`] or an error.
 pub type Parts = BoxStream<'static, Result<Part, Error>>;
 
 /// Access to upstreams.
@@ -155,15 +149,15 @@
     /// Starts a chat completion. Dropping the stream closes the connection; [`Upstreams::cancel`] stops the work.
     async fn chat(&self, target: Target, call: Call) -> Result<Parts, Error>;
 
-    /// Calls a plain service and returns its whole answer.
+    /// Calls a plain service and returns its complete answer.
     async fn call(&self, target: Target, call: Call) -> Result<Bytes, Error>;
 
-    /// Stops the work of a request. Harmless when the request is unknown or has ended.
+    /// Stops the work on a request. Does nothing if the request is unknown or has ended.
     async fn cancel(&self, target: Target, request: id::Request) -> Result<(), Error>;
 
-    /// Asks for the engine's load report.
+    /// Requests the engine's load report.
     async fn report(&self, target: Target) -> Result<Report, Error>;
 
-    /// Gives an order.
+    /// Sends an order.
     async fn order(&self, target: Target, order: Order) -> Result<Verdict, Error>;
 }
--- a/crates/tinbank-base/src/platform/weights.rs
+++ b/crates/tinbank-base/src/platform/weights.rs
@@ -5,33 +5,31 @@
 use async_trait::async_trait;
 use serde::{Deserialize, Serialize};
 
-/// Weights that an engine can load: a model, or an adapter for one, in a version.
+/// Weights that an engine can load: a version of a model, or of an adapter for it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Artifact {
-    /// Name of the model.
     pub model: String,
-    /// Version of the model.
     pub version: String,
-    /// Name of the adapter, if it is one.
+    /// Name of the adapter, if the artifact is one.
     pub adapter: Option<String>,
 }
 
-/// Leave to load one artifact once; the engine shows it to the store.
+/// Permission to load an artifact once, which the engine presents to the store.
 pub type Ticket = u64;
 
-/// Why no ticket was given.
+/// Error of a ticket request.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// Over the rate; nothing was spent.
+    /// The rate was exceeded; the request does not count against it.
     #[error("the weight store gives no ticket until {retry_at:?}")]
     Limited {
-        /// When to ask again.
+        /// When to retry.
         retry_at: SystemTime,
     },
     /// The store does not know the artifact.
     #[error("the weight store has no {0}")]
     Missing(String),
-    /// The store can't be reached.
+    /// The store is unreachable.
     #[error("the weight store can't be reached: {0}")]
     Unavailable(String),
 }
@@ -39,6 +37,6 @@
 /// The weight store.
 #[async_trait]
 pub trait Weights: Send + Sync + fmt::Debug {
-    /// Asks for leave to load an artifact.
+    /// Requests permission to load an artifact.
     async fn ticket(&self, artifact: &Artifact) -> Result<Ticket, Error>;
 }
--- a/crates/tinbank-base/src/record/claim.rs
+++ b/crates/tinbank-base/src/record/claim.rs
@@ -1,4 +1,4 @@
-//! Claims of online requests that run at most once. They stand in the work shard of
+//! Claims of online requests that run at most once. They are stored in the work shard given by
 //! hash(customer, idempotency key). See `docs/design/claims.md`.
 
 use std::time::SystemTime;
@@ -10,25 +10,24 @@
 use super::Writer;
 use crate::{digest::Digest, id, outcome::Failure};
 
-/// What identifies a claim: the first 128 bits of the digest of customer and idempotency key.
+/// Identifier of a claim: the first 128 bits of the digest of customer and idempotency key.
 pub type Key = u128;
 
-/// A request claimed before it is sent.
+/// The claim of a request, written before the request is sent.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Customer and idempotency key, digested.
     pub key: Key,
-    /// Digest of service and body; a resend has to match.
+    /// Digest of service and body, which a retry has to match.
     pub body: Digest,
-    /// The online process that will send the request; when it dies, the outcome is unknown.
+    /// The online process that will send the request. If it dies, the outcome is unknown.
     pub claimer: Writer,
-    /// Id of the request, on the time line.
+    /// Id of the request.
     pub request: id::Request,
-    /// When the claimer stops at the latest; a claim still open well after it has an unknown outcome.
+    /// When the claimer stops at the latest. The outcome of a claim that is open well after it is unknown.
     #[serde_as(as = "TimestampMilliSeconds<i64>")]
     pub deadline: SystemTime,
-    /// When the claim may be forgotten.
+    /// When the claim may be removed.
     #[serde_as(as = "TimestampMilliSeconds<i64>")]
     pub keep_until: SystemTime,
 }
@@ -36,24 +35,20 @@
 /// The stored answer of a claimed request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Settled {
-    /// Which claim.
     pub key: Key,
-    /// The claimer that settles it; another's word does not count.
+    /// The process that made the claim; only that process can settle it.
     pub claimer: Writer,
-    /// Id of the claimed request. Without it a late copy of an earlier `ran: no` could free the claim of a later try.
+    /// Id of the claimed request. It prevents a delayed duplicate of an earlier `ran: no` from freeing the claim of a retry.
     pub request: id::Request,
-    /// The answer. A failure with `ran: no` frees the key for another try.
+    /// The answer. A failure with `ran: no` frees the key for a retry.
     pub answer: Result<Bytes, Stored>,
 }
 
-/// A stored failure. Postcard can't write the JSON form's skipped fields, so it has a form of its own.
+/// A stored failure. [`Failure`] skips fields when it is serialized, which postcard does not support.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stored {
-    /// Why.
     pub code: crate::outcome::Code,
-    /// Whether the work ran.
     pub ran: crate::outcome::Ran,
-    /// What happened.
     pub message: String,
 }
 
--- a/crates/tinbank-base/src/record/config.rs
+++ b/crates/tinbank-base/src/record/config.rs
@@ -8,16 +8,16 @@
 use super::Writer;
 use crate::id;
 
-/// What a change is about.
+/// A configuration object.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Object {
-    /// A template that customers are made from.
+    /// A template for customers.
     Template(String),
-    /// A customer's parameters.
+    /// The parameters of a customer.
     Customer(id::Customer),
-    /// Whether operators want an entry host left alone.
+    /// Whether operators have taken an entry host out of use.
     Host(id::Host),
-    /// Whether operators want an upstream left alone.
+    /// Whether operators have taken an upstream out of use.
     Upstream(id::Upstream),
 }
 
@@ -32,64 +32,56 @@
     }
 }
 
-/// A change of one object. It is accepted only if `base` is the object's revision at its place in the stream.
+/// A change of an object. It is accepted only if `base` is the object's revision at this position in the stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Put {
-    /// Drawn by the operator's tool, so that a change resent after a lost answer is told apart from a second one.
+    /// Random id from the operator's tool, which identifies a change that is resent after a lost answer.
     pub change: u128,
-    /// What is changed.
     pub object: Object,
-    /// The revision that the change was made from; `None` for an object that does not exist.
+    /// The revision that the change is based on; `None` if the object does not exist.
     pub base: Option<id::Revision>,
-    /// The new text as JSON; `None` deletes the object.
+    /// The new JSON text; `None` deletes the object.
     pub body: Option<String>,
-    /// Who changed it, for people.
+    /// Display name of the author.
     pub author: String,
 }
 
-/// One object in a checkpoint.
+/// An object in a checkpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Kept {
-    /// Which object.
     pub object: Object,
-    /// Its revision.
     pub revision: id::Revision,
-    /// Its text; `None` if it was deleted.
+    /// JSON text; `None` if the object was deleted.
     pub body: Option<String>,
-    /// Who made that revision, for people.
+    /// Display name of the revision's author.
     pub author: String,
 }
 
-/// What a checkpoint keeps of a recent envelope, so that a copy of it that comes later is known as one.
+/// Summary of a recent envelope in a checkpoint, used to detect later duplicates of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Recent {
-    /// Where it stands.
     pub offset: id::Offset,
-    /// Who wrote it.
     pub writer: Writer,
-    /// Its number.
+    /// Sequence number of the envelope.
     pub sequence: u64,
-    /// The changes in it.
+    /// Ids of the changes in the envelope.
     pub changes: SmallVec<[u128; 1]>,
 }
 
 /// A record of the configuration stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// A change.
     Put(Put),
-    /// Part of the state as of `through`, appended before retention takes the records it stands for. Parts of one
-    /// checkpoint share `through` and are numbered; only a complete set counts.
+    /// A part of the state as of `through`, appended before retention removes the records that it replaces. The parts of a
+    /// checkpoint have the same `through` and are numbered; only a complete set is valid.
     Checkpoint {
-        /// The fold up to and including this offset is in the checkpoint.
+        /// Last offset that the checkpoint covers.
         through: id::Offset,
         /// Number of this part, from 0.
         part: u32,
-        /// How many parts there are.
+        /// Number of parts.
         parts: u32,
-        /// The objects of this part.
         objects: Vec<Kept>,
-        /// The recent envelopes of this part.
         recent: Vec<Recent>,
     },
 }
--- a/crates/tinbank-base/src/record/envelope.rs
+++ b/crates/tinbank-base/src/record/envelope.rs
@@ -1,4 +1,4 @@
-//! The envelope around the records of one append.
+//! The envelope that contains the records of an append.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
@@ -8,44 +8,40 @@
 /// Version of the record format that this build writes.
 pub const VERSION: u8 = 1;
 
-/// Who wrote an envelope.
+/// Writer of an envelope: one start of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Writer {
-    /// The process.
     pub process: id::Process,
-    /// Its start.
     pub incarnation: id::Incarnation,
 }
 
-/// The records of one append.
+/// The records of an append.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope<R> {
-    /// Who wrote it.
     pub writer: Writer,
-    /// Counts the writer's appends to this stream, from 1. A number that the fold has seen from this writer is a copy.
+    /// Number of the writer's append to this stream, from 1. The fold drops a number that it has already seen as a duplicate.
     pub sequence: u64,
-    /// When, in causal order.
+    /// Time and causal order.
     pub stamp: Stamp,
-    /// The records, in order.
     pub records: Vec<R>,
 }
 
-/// Why a payload can't be read. A fold counts and skips such a record: it must not stop the stream.
+/// Error of decoding a payload. A fold counts and skips such a payload, so that it does not block the stream.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// Nothing in it.
+    /// The payload is empty.
     #[error("the record is empty")]
     Empty,
-    /// Written by a later version in a form that this one can't read.
+    /// The payload has a version that this build can't read.
     #[error("the record has version {0}, this build reads up to {VERSION}")]
     Version(u8),
-    /// Not a record of ours.
+    /// The payload can't be decoded.
     #[error("the record can't be decoded: {0}")]
     Malformed(String),
 }
 
 impl<R: Serialize> Envelope<R> {
-    /// Encodes the envelope with its version in front.
+    /// Encodes the envelope, preceded by its version.
     pub fn encode(&self) -> Bytes {
         let buffer = vec![VERSION];
         postcard::to_extend(self, buffer)
@@ -55,10 +51,10 @@
 }
 
 impl<R: DeserializeOwned> Envelope<R> {
-    /// Decodes what [`Envelope::encode`] wrote.
+    /// Decodes an envelope written by [`Envelope::encode`].
     ///
     /// # Errors
-    /// Every malformed or foreign payload gives an error; none panics.
+    /// Returns an error for any malformed or foreign payload; never panics.
     pub fn decode(payload: &[u8]) -> Result<Self, Error> {
         let (version, body) = payload.split_first().ok_or(Error::Empty)?;
         if *version != VERSION {
--- a/crates/tinbank-base/src/record/mod.rs
+++ b/crates/tinbank-base/src/record/mod.rs
@@ -1,8 +1,7 @@
 //! Records of the log streams, and the envelope that carries them.
 //!
-//! An append holds one envelope with any number of records (group commit). The envelope names its
-//! writer, so that a second copy of an append whose answer was lost is dropped in the fold. See
-//! `docs/design/ledger.md`.
+//! An append contains one envelope with any number of records (group commit). The envelope identifies its writer and append,
+//! so that the fold can drop a duplicate that was appended after a lost answer. See `docs/design/ledger.md`.
 
 pub mod claim;
 pub mod config;
--- a/crates/tinbank-base/src/record/work.rs
+++ b/crates/tinbank-base/src/record/work.rs
@@ -1,7 +1,6 @@
 //! Records of the work shards: jobs, items, results, claims and the shard's lease.
 //!
-//! See `docs/design/ledger.md` for what each record proves and which one counts when two say
-//! different things.
+//! See `docs/design/ledger.md` for the meaning of each record and for which one is valid if two contradict each other.
 
 use std::time::SystemTime;
 
@@ -16,81 +15,70 @@
 };
 use crate::{digest::Digest, id, outcome};
 
-/// One item of a chunk, as the caller sent it.
+/// An item of a chunk, as submitted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
-    /// The caller's name for it, unique in the job.
+    /// The caller's name for the item, unique in the job.
     pub custom_id: String,
-    /// The JSON body for the service.
+    /// JSON body for the service.
     pub body: Bytes,
     /// Whether it may run more than once.
     pub repeatable: bool,
 }
 
-/// Some hundred items of a job, in the shard of hash(job, chunk). A chunk whose job has no head is garbage.
+/// A group of items of a job, in the shard given by hash(job, chunk). A chunk whose job has no head is garbage.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// Which job.
     pub job: id::Job,
-    /// Tells apart the chunks of two intakes of one job: only those of the head that counts are run.
+    /// Id of the submission. If a job is submitted twice, only the chunks of the valid head's submission run.
     pub intake: u64,
-    /// Which chunk.
     pub chunk: id::Chunk,
-    /// Number of its first item in the job.
+    /// Index of its first item in the job.
     pub first: id::Item,
-    /// The items.
     pub items: Vec<Item>,
 }
 
-/// The commit point of a job, in the shard of hash(job). The first head of a job by offset is the one that counts.
+/// The commit record of a job, in the shard given by hash(job). The first head of a job by offset is the valid one.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// Which job.
     pub job: id::Job,
-    /// The intake whose chunks the job is made of.
+    /// Submission that the job's chunks belong to.
     pub intake: u64,
-    /// Whose job it is.
     pub customer: id::Customer,
-    /// Which service runs it.
     pub service: id::Service,
-    /// Digest of service, due time and body; a resend has to match.
+    /// Digest of service, due time and body, which a retry has to match.
     pub body: Digest,
-    /// How many items it has.
+    /// Number of items.
     pub items: id::Item,
-    /// How many chunks it has.
+    /// Number of chunks.
     pub chunks: id::Chunk,
-    /// The shards that hold its chunks, ascending.
+    /// Shards that contain its chunks, in ascending order.
     pub shards: SmallVec<[id::Shard; 8]>,
-    /// When it was taken in.
+    /// When it was submitted.
     #[serde_as(as = "TimestampMilliSeconds<i64>")]
     pub received: SystemTime,
-    /// When it is due.
     #[serde_as(as = "TimestampMilliSeconds<i64>")]
     pub due: SystemTime,
-    /// How long its results stay readable.
+    /// Until when its results are retained.
     #[serde_as(as = "TimestampMilliSeconds<i64>")]
     pub keep_until: SystemTime,
 }
 
-/// Tells a shard that a job's head counts and its chunks there may run. Repeating it is harmless.
+/// Marks a job as committed in a shard, so that its chunks there may run. Duplicates have no effect.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Release {
-    /// Which job.
     pub job: id::Job,
-    /// The intake whose chunks count.
+    /// Submission whose chunks are valid.
     pub intake: u64,
-    /// Whose job it is.
     pub customer: id::Customer,
-    /// Which service runs it.
     pub service: id::Service,
-    /// How many of its chunks this shard holds.
+    /// Number of its chunks in this shard.
     pub chunks: id::Chunk,
-    /// When it is due.
     #[serde_as(as = "TimestampMilliSeconds<i64>")]
     pub due: SystemTime,
-    /// How long its results stay readable.
+    /// Until when its results are retained.
     #[serde_as(as = "TimestampMilliSeconds<i64>")]
     pub keep_until: SystemTime,
 }
@@ -98,66 +86,57 @@
 /// How an item ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The service's whole answer, as JSON.
+    /// Complete JSON answer of the service.
     Answer(Bytes),
-    /// It can't be done.
+    /// The item failed for good.
     Failed {
-        /// Why.
         code: outcome::Code,
-        /// Whether it ran.
         ran: outcome::Ran,
-        /// What happened, for people.
+        /// Human-readable description.
         message: String,
     },
 }
 
-/// The end of one item. The first for an item by offset is the one that counts.
+/// Completion of an item. The first one of an item by offset is the valid one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Completion {
-    /// Number of the item in the job.
+    /// Index of the item in the job.
     pub item: id::Item,
-    /// How many times it was sent to an upstream.
+    /// Number of times that it was sent to an upstream.
     pub attempts: u16,
-    /// How it ended.
     pub outcome: Outcome,
 }
 
-/// Completions of items of one chunk.
+/// Completions of items of a chunk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Completed {
-    /// Which job.
     pub job: id::Job,
-    /// Which chunk.
     pub chunk: id::Chunk,
-    /// The ends of its items.
     pub completions: Vec<Completion>,
 }
 
-/// Items that may not be repeated, about to be sent. Read back as the first before anything is sent.
+/// Intent to send items that may not be repeated. They are sent only after this record was read back as the first one for
+/// them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Dispatch {
-    /// Which job.
     pub job: id::Job,
-    /// Which chunk.
     pub chunk: id::Chunk,
-    /// The term of the owner that sends them.
+    /// Lease term of the owner that sends them.
     pub epoch: id::Epoch,
-    /// The items.
     pub items: Vec<id::Item>,
 }
 
-/// What a shard says in the head's shard of its part of a job. The first one from each shard counts.
+/// Final counts of a job's items in one shard, written to the head's shard. The first one from each shard is the valid one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
-    /// Which job.
     pub job: id::Job,
-    /// Its intake, so that a job taken in again under the same key, long after, is not ended by its predecessor.
+    /// Submission of the job, so that the counts do not apply to a later job with the same key.
     pub intake: u64,
-    /// Which shard speaks.
+    /// Shard that the counts are from.
     pub shard: id::Shard,
-    /// Items with an answer.
+    /// Items that were answered.
     pub answered: id::Item,
-    /// Items that ended as failed.
+    /// Items that failed.
     pub failed: id::Item,
     /// Items that were cancelled before they ended.
     pub cancelled: id::Item,
@@ -166,71 +145,62 @@
 /// A record of a work shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// A step of the shard's lease.
+    /// A change of the shard's lease.
     Lease(Lease),
-    /// Items of a job.
     Chunk(Chunk),
-    /// The commit point of a job.
     Head(Head),
-    /// A job's chunks here may run.
     Release(Release),
-    /// A job is stopped: completions after this record don't count. In the head's shard and in each shard of chunks.
+    /// Cancels a job: later completions are ignored. Written to the head's shard and to each shard with chunks.
     Cancel {
-        /// Which job.
-        job: id::Job,
+            job: id::Job,
     },
-    /// Items about to be sent that may not be repeated.
     Dispatch(Dispatch),
-    /// Ends of items.
     Completed(Completed),
-    /// A shard has finished its part of a job.
     Part(Part),
-    /// An online request is claimed.
+    /// Claim of an online request.
     Claim(Claim),
-    /// A claimed request has ended.
+    /// Result of a claimed request.
     Settled(Settled),
-    /// Part of the shard's state as of `through`, written before retention takes what it stands for.
+    /// A part of the shard's state, written before retention removes the records that it replaces.
     Checkpoint(Checkpoint),
-    /// A chunk and the ends of its items, written again before retention takes the older records.
+    /// A chunk and the completions of its items, rewritten before retention removes the older records.
     Carried(Carried),
-    /// Ends of a chunk's items, written again by themselves because they are too large to go with the chunk.
+    /// Completions that are rewritten separately, because they are too large to be in one record with their chunk.
     Moved(Moved),
 }
 
-/// A chunk carried forward: the bodies of its items that are still pending, and the completions that counted
-/// up to and including `through`. It moves bodies and results, and changes no item's state.
+/// A chunk carried forward: the bodies of its pending items, and the valid completions up to and including `through`. It
+/// changes no item's state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Carried {
-    /// Its writer's fold up to and including this offset decided which completions are in it.
+    /// Last offset of the writer's fold when the record was written.
     pub through: id::Offset,
-    /// The chunk; items that have ended keep their name but have an empty body.
+    /// The chunk. Items that have ended keep their name but have an empty body.
     pub chunk: Chunk,
-    /// The completions that counted.
+    /// The valid completions.
     pub completions: Vec<Completion>,
 }
 
-/// The completions that counted of one envelope, carried forward. It moves them, and changes no item's state.
+/// The valid completions of an envelope, carried forward. It changes no item's state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Moved {
-    /// The chunk's intake.
+    /// Submission of the chunk.
     pub intake: u64,
-    /// Offset of the envelope that they stood in.
+    /// Offset of the original envelope.
     pub from: id::Offset,
-    /// The completions.
     pub completed: Completed,
 }
 
 /// Part of a shard's state, encoded by `tinbank-ledger`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Checkpoint {
-    /// The fold up to and including this offset is in the checkpoint.
+    /// Last offset that the checkpoint covers.
     pub through: id::Offset,
     /// Number of this part, from 0.
     pub part: u32,
-    /// How many parts there are.
+    /// Number of parts.
     pub parts: u32,
     /// Version of the encoding of `state`.
     pub version: u8,
-    /// The state.
     pub state: Bytes,
 }
--- a/crates/tinbank-base/tests/cause.rs
+++ b/crates/tinbank-base/tests/cause.rs
@@ -1,4 +1,4 @@
-//! Errors as text.
+//! Tests error messages with their causes.
 
 use std::{error::Error, fmt};
 
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn an_error_is_told_with_all_its_causes() {
+fn the_message_includes_all_causes() {
     let root = Failed {
         text: "refused",
         cause: None,
--- a/crates/tinbank-base/tests/examples/mod.rs
+++ b/crates/tinbank-base/tests/examples/mod.rs
@@ -1,4 +1,4 @@
-//! One value of each kind that goes out, with every variant in it.
+//! Example values of frames and records.
 
 #![allow(dead_code, reason = "each test file uses a part of the examples")]
 
--- a/crates/tinbank-base/tests/foreign.rs
+++ b/crates/tinbank-base/tests/foreign.rs
@@ -1,4 +1,4 @@
-//! Bytes from outside: any of them give a value or an error, never a panic, and none is believed in its claimed sizes.
+//! Tests that untrusted bytes decode to a value or an error, without panics and without trust in the lengths they claim.
 
 mod examples;
 
@@ -19,38 +19,38 @@
 use tinbank_test_support::property;
 
 const CASES: u32 = 1_024;
-/// A number as postcard writes the largest length that fits 32 bits.
-const HUGE: [u8; 5] = [0xff, 0xff, 0xff, 0xff, 0x0f];
+/// Postcard encoding of `u32::MAX`.
+const MAX_LENGTH: [u8; 5] = [0xff, 0xff, 0xff, 0xff, 0x0f];
 
 proptest! {
     #![proptest_config(property::config(CASES))]
 
     #[test]
-    fn any_payload_is_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn decoding_random_payloads_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         decode_all(&bytes);
     }
 
     #[test]
-    fn a_changed_record_is_read_or_refused(changes in changes(), cut: Option<Index>) {
+    fn decoding_modified_records_does_not_panic(changes in changes(), cut: Option<Index>) {
         for payload in [work().encode(), configuration().encode(), lease().encode()] {
-            decode_all(&changed(&payload, &changes, cut));
+            decode_all(&modified(&payload, &changes, cut));
         }
     }
 
     #[test]
-    fn any_frame_is_refused(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn random_frames_are_rejected(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         prop_assert!(open::<Datagram>(&bytes, &[key()]).is_err());
         prop_assert!(open::<Request>(&bytes, &[key()]).is_err());
     }
 
-    /// Who holds the key may still send nonsense: a later version, or a fault.
+    /// A key holder may still send invalid bodies, by another version or a fault.
     #[test]
-    fn a_changed_body_under_a_valid_mac_is_read_or_refused(changes in changes(), cut: Option<Index>) {
+    fn opening_modified_bodies_with_a_valid_mac_does_not_panic(changes in changes(), cut: Option<Index>) {
         let heartbeat = body(&seal(&datagram_heartbeat(), &key()));
         let credit = body(&seal(&datagram_credit(), &key()));
         let request = body(&seal(&peer_request(), &key()));
         for body in [heartbeat, credit, request] {
-            let frame = seal(&Raw(changed(&body, &changes, cut)), &key());
+            let frame = seal(&Raw(modified(&body, &changes, cut)), &key());
 
             let _ = open::<Datagram>(&frame, &[key()]);
             let _ = open::<Request>(&frame, &[key()]);
@@ -59,7 +59,7 @@
     }
 
     #[test]
-    fn a_changed_frame_is_refused(at: Index, by in 1..=u8::MAX) {
+    fn a_modified_frame_is_rejected(at: Index, by in 1..=u8::MAX) {
         let mut frame = seal(&datagram_heartbeat(), &key());
         let at = at.index(frame.len());
         frame[at] ^= by;
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_record_cut_at_any_byte_is_malformed() {
+fn a_truncated_record_is_malformed() {
     let payload = work().encode();
 
     for end in 1..payload.len() {
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_record_of_the_next_version_says_so_whatever_it_holds() {
+fn a_record_of_the_next_version_is_a_version_error_whatever_its_content() {
     let mut payload = work().encode().to_vec();
     payload[0] = envelope::VERSION + 1;
     payload.truncate(5);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_frame_of_the_next_version_says_so_before_its_key_is_looked_at() {
+fn the_version_of_a_frame_is_checked_before_its_key() {
     let mut frame = seal(&datagram_heartbeat(), &key());
     frame[0] = datagram::VERSION + 1;
 
@@ -103,9 +103,9 @@
     assert_eq!(read, Err(FrameError::Version(datagram::VERSION + 1)));
 }
 
-/// A variant that a later build added at the end: the whole envelope is refused, its other records too.
+/// A variant added by a later build invalidates the whole envelope, including its other records.
 #[test]
-fn a_variant_that_is_not_known_makes_its_envelope_malformed() {
+fn an_unknown_variant_makes_the_envelope_malformed() {
     let mut payload = Envelope::<Lease> {
         records: vec![Lease::Renew { epoch: 1 }],
         ..lease()
@@ -120,23 +120,23 @@
     assert!(matches!(read, Err(RecordError::Malformed(_))), "{read:?}");
 }
 
-/// A list that claims four billion entries is read no further than its bytes go.
+/// A list that claims 2^32 - 1 entries must not be read beyond its bytes.
 #[test]
-fn a_claimed_length_is_not_believed() {
+fn a_claimed_length_is_not_trusted() {
     let empty = Envelope::<Work> {
         records: Vec::new(),
         ..work()
     };
     let mut payload = empty.encode().to_vec();
     payload.pop();
-    payload.extend_from_slice(&HUGE);
+    payload.extend_from_slice(&MAX_LENGTH);
 
     let read = Envelope::<Work>::decode(&payload);
 
     assert!(matches!(read, Err(RecordError::Malformed(_))), "{read:?}");
 }
 
-/// Bytes as they are.
+/// Bytes that serialize without a length prefix.
 struct Raw(Vec<u8>);
 
 impl serde::Serialize for Raw {
@@ -169,7 +169,7 @@
     prop::collection::vec(any::<(Index, u8)>(), 0..5)
 }
 
-fn changed(bytes: &[u8], changes: &[(Index, u8)], cut: Option<Index>) -> Vec<u8> {
+fn modified(bytes: &[u8], changes: &[(Index, u8)], cut: Option<Index>) -> Vec<u8> {
     let mut bytes = bytes.to_vec();
     for (at, byte) in changes {
         let at = at.index(bytes.len());
--- a/crates/tinbank-base/tests/golden.rs
+++ b/crates/tinbank-base/tests/golden.rs
@@ -1,5 +1,4 @@
-//! The bytes of today's version, committed: an encoding that changes by accident would be read as garbage by the
-//! other hosts during a rollout. See `docs/design/versions.md` for what may change and how.
+//! Tests the encodings against committed bytes. An accidental change would be misread by other hosts during a rollout. See `docs/design/versions.md` for what may change and how.
 
 mod examples;
 
@@ -24,7 +23,7 @@
     request = { "request", &seal(&peer_request(), &key()) },
     response = { "response", &seal(&peer_response(), &key()) },
 )]
-fn todays_version_is_written_as_ever(name: &str, bytes: &[u8]) {
+fn the_current_version_encodes_to_the_committed_bytes(name: &str, bytes: &[u8]) {
     assert_eq!(
         hex(bytes),
         golden(name),
@@ -33,23 +32,23 @@
 }
 
 #[test]
-fn todays_version_is_read_as_ever() {
-    reads("work", &work());
-    reads("config", &configuration());
-    reads("lease", &lease());
-    opens("heartbeat", &datagram_heartbeat());
-    opens("credit", &datagram_credit());
-    opens("request", &peer_request());
-    opens("response", &peer_response());
+fn the_committed_bytes_decode_to_the_original_values() {
+    assert_decodes("work", &work());
+    assert_decodes("config", &configuration());
+    assert_decodes("lease", &lease());
+    assert_opens("heartbeat", &datagram_heartbeat());
+    assert_opens("credit", &datagram_credit());
+    assert_opens("request", &peer_request());
+    assert_opens("response", &peer_response());
 }
 
-fn reads<R: DeserializeOwned + PartialEq + std::fmt::Debug>(name: &str, expected: &Envelope<R>) {
+fn assert_decodes<R: DeserializeOwned + PartialEq + std::fmt::Debug>(name: &str, expected: &Envelope<R>) {
     let read = Envelope::<R>::decode(&bytes(golden(name)));
 
     assert_eq!(read.as_ref(), Ok(expected), "{name}");
 }
 
-fn opens<T>(name: &str, expected: &T)
+fn assert_opens<T>(name: &str, expected: &T)
 where
     T: DeserializeOwned + Serialize + PartialEq + std::fmt::Debug,
 {
