--- a/crates/tinbank-base/src/frame/credit.rs
+++ b/crates/tinbank-base/src/frame/credit.rs
@@ -1,6 +1,7 @@
 //! Messages of admission control, which limits the batch requests in each engine.
 //!
-//! Clocks are not synchronized, so a grant states how long it is valid; the receiver turns this into a deadline on receipt. See `docs/design/admission.md`.
+//! Clocks are not synchronized, so a grant states how long it is valid; the receiver turns this into a deadline on receipt.
+//! See `docs/design/admission.md`.
 
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
--- a/crates/tinbank-base/tests/golden.rs
+++ b/crates/tinbank-base/tests/golden.rs
@@ -1,4 +1,5 @@
-//! Tests the encodings against committed bytes. An accidental change would be misread by other hosts during a rollout. See `docs/design/versions.md` for what may change and how.
+//! Tests the encodings against committed bytes. An accidental change would be misread by other hosts during a rollout.
+//! See `docs/design/versions.md` for what may change and how.
 
 mod examples;
 
--- a/crates/tinbank-gateway/src/relay/answer.rs
+++ b/crates/tinbank-gateway/src/relay/answer.rs
@@ -23,7 +23,7 @@
     pub request: Rc<Request>,
     pub upstream: id::Instance,
     pub address: SocketAddr,
-    /// Number of the last event received, counted from the start of the whole answer.
+    /// Number of the last event that the caller has, including events from earlier attempts.
     pub last_event: Cell<event::Id>,
 }
 
--- a/crates/tinbank-gateway/src/sharing/ask.rs
+++ b/crates/tinbank-gateway/src/sharing/ask.rs
@@ -135,7 +135,7 @@
         };
         let lease = self.new_lease_id();
         let mut exclude: SmallVec<[id::Instance; 4]> = spec.exclude.iter().cloned().collect();
-        // Avoided upstreams are excluded from the search for a free slot, but not for a request that would be refused otherwise.
+        // Avoided upstreams are excluded from the search for a free slot, but not if the request would be refused otherwise.
         if queue == Queue::No {
             exclude.extend(self.avoided_upstreams(now));
         }
--- a/crates/tinbank-relay/tests/listing.rs
+++ b/crates/tinbank-relay/tests/listing.rs
@@ -127,13 +127,13 @@
     let second = listing.remove(&gone, now);
     let expires_at = listing.missing_expire_at().unwrap();
     let early = listing.expire_missing(now + READ_INTERVAL);
-    let settled = listing.expire_missing(expires_at);
+    let expired = listing.expire_missing(expires_at);
     let again = listing.expire_missing(expires_at + READ_INTERVAL);
 
     assert_eq!(first, Some(Change::Missing(gone.clone())));
     assert_eq!(second, None);
     assert!(early.is_empty());
-    assert_eq!(settled[..], [Change::Gone(gone.clone())]);
+    assert_eq!(expired[..], [Change::Gone(gone.clone())]);
     assert!(again.is_empty());
     assert!(listing.is_leaving(&gone));
 }
