--- a/crates/tinbank-admission/src/teller.rs
+++ b/crates/tinbank-admission/src/teller.rs
@@ -125,7 +125,8 @@
                     online: engine.online,
                 };
                 engine.first = Some(Told::new(first.to, load.online, now));
-                self.peers.send_credit(first.to, Message::Load(smallvec![load]));
+                self.peers
+                    .send_credit(first.to, Message::Load(smallvec![load]));
             }
         }
     }
@@ -160,7 +161,8 @@
                 .is_none_or(|told| told.is_stale(first.peer, load.online, now))
         {
             engine.first = Some(Told::new(first.peer, load.online, now));
-            self.peers.send_credit(first.peer, Message::Load(smallvec![load]));
+            self.peers
+                .send_credit(first.peer, Message::Load(smallvec![load]));
         }
         if let Some(second) = second
             && engine
@@ -168,7 +170,8 @@
                 .is_none_or(|told| told.is_too_low(second.peer, load.online, now))
         {
             engine.second = Some(Told::new(second.peer, load.online, now));
-            self.peers.send_credit(second.peer, Message::Load(smallvec![load]));
+            self.peers
+                .send_credit(second.peer, Message::Load(smallvec![load]));
         }
     }
 }
--- a/crates/tinbank-base/src/event.rs
+++ b/crates/tinbank-base/src/event.rs
@@ -101,17 +101,11 @@
     /// A batch item was removed from an engine in favor of online requests.
     Preempted,
     /// Batch credits for an engine changed.
-    Credits {
-        credits: u16,
-    },
+    Credits { credits: u16 },
     /// A lease was taken.
-    LeaseTaken {
-        epoch: id::Epoch,
-    },
+    LeaseTaken { epoch: id::Epoch },
     /// A lease was released.
-    LeaseReleased {
-        epoch: id::Epoch,
-    },
+    LeaseReleased { epoch: id::Epoch },
     /// A lease was lost to another process.
     LeaseLost {
         /// Term of the other process.
@@ -137,9 +131,7 @@
     /// An ejected upstream gets work again.
     Returned,
     /// An order was sent to an engine.
-    Ordered {
-        fence: id::Fence,
-    },
+    Ordered { fence: id::Fence },
     /// The platform's log is unreachable.
     LogLost,
     /// The platform's log is reachable again.
--- a/crates/tinbank-base/src/frame/request.rs
+++ b/crates/tinbank-base/src/frame/request.rs
@@ -19,9 +19,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Request {
     /// Returns the state of a job. Sent to the owner of the head's shard.
-    Job {
-        job: id::Job,
-    },
+    Job { job: id::Job },
     /// Returns whether an appended head is valid. Waits until the fold has passed `offset`.
     Committed {
         job: id::Job,
@@ -31,9 +29,7 @@
         offset: id::Offset,
     },
     /// Cancels a job. Answered once the cancel record was read back from the head's shard.
-    Cancel {
-        job: id::Job,
-    },
+    Cancel { job: id::Job },
     /// Returns the results of a job's items in one shard, starting at a chunk.
     Results {
         job: id::Job,
@@ -53,9 +49,7 @@
         from: id::Offset,
     },
     /// Returns the number of a customer's pending items in the shards that the server owns.
-    Pending {
-        customer: id::Customer,
-    },
+    Pending { customer: id::Customer },
 }
 
 /// State and counts of a job.
--- a/crates/tinbank-base/src/peer.rs
+++ b/crates/tinbank-base/src/peer.rs
@@ -24,10 +24,7 @@
     Connect(SocketAddr),
     /// The connection was lost or the deadline passed after the request was sent.
     #[error("no answer from {to}: {reason}")]
-    Lost {
-        to: SocketAddr,
-        reason: String,
-    },
+    Lost { to: SocketAddr, reason: String },
 }
 
 /// Sends frames to other processes.
--- a/crates/tinbank-base/src/record/work.rs
+++ b/crates/tinbank-base/src/record/work.rs
@@ -152,7 +152,7 @@
     Release(Release),
     /// Cancels a job: later completions are ignored. Written to the head's shard and to each shard with chunks.
     Cancel {
-            job: id::Job,
+        job: id::Job,
     },
     Dispatch(Dispatch),
     Completed(Completed),
--- a/crates/tinbank-base/tests/golden.rs
+++ b/crates/tinbank-base/tests/golden.rs
@@ -43,7 +43,10 @@
     assert_opens("response", &peer_response());
 }
 
-fn assert_decodes<R: DeserializeOwned + PartialEq + std::fmt::Debug>(name: &str, expected: &Envelope<R>) {
+fn assert_decodes<R: DeserializeOwned + PartialEq + std::fmt::Debug>(
+    name: &str,
+    expected: &Envelope<R>,
+) {
     let read = Envelope::<R>::decode(&bytes(golden(name)));
 
     assert_eq!(read.as_ref(), Ok(expected), "{name}");
--- a/crates/tinbank-gateway/src/node.rs
+++ b/crates/tinbank-gateway/src/node.rs
@@ -114,7 +114,9 @@
 
     /// True if a request with so much time left is likely its caller's first try.
     pub fn is_first_try(&self, route: &Route, time_left: Duration) -> bool {
-        self.learn(route, |it| it.caller_timeout.is_first_try(time_left, route.timeout))
+        self.learn(route, |it| {
+            it.caller_timeout.is_first_try(time_left, route.timeout)
+        })
     }
 
     /// What is usual on a route.
--- a/crates/tinbank-gateway/src/relay/attempt.rs
+++ b/crates/tinbank-gateway/src/relay/attempt.rs
@@ -101,7 +101,13 @@
             guard,
             verdict,
         }),
-        Verdict::NotRun => Err(refused(request, &lease, &head, "refused", AttemptError::NotRun)),
+        Verdict::NotRun => Err(refused(
+            request,
+            &lease,
+            &head,
+            "refused",
+            AttemptError::NotRun,
+        )),
         Verdict::OtherInstance => {
             node.view.leave(&lease.upstream);
             let why = "other_instance";
@@ -111,7 +117,13 @@
             let why = "other_request";
             Err(refused(request, &lease, &head, why, AttemptError::Lost))
         }
-        Verdict::Unclear => Err(refused(request, &lease, &head, "unclear", AttemptError::Lost)),
+        Verdict::Unclear => Err(refused(
+            request,
+            &lease,
+            &head,
+            "unclear",
+            AttemptError::Lost,
+        )),
     }
 }
 
--- a/crates/tinbank-gateway/src/relay/mod.rs
+++ b/crates/tinbank-gateway/src/relay/mod.rs
@@ -55,7 +55,11 @@
     node.notice_pause();
     let at = Moment::read();
     let received = at.steady;
-    let Some(config) = node.view.config_once_known(received + STARTUP_TIMEOUT).await else {
+    let Some(config) = node
+        .view
+        .config_once_known(received + STARTUP_TIMEOUT)
+        .await
+    else {
         return refuse(node, &call.id, "no configuration read yet");
     };
     let Some(route) = config.route(&call.host, &call.path).cloned() else {
@@ -65,7 +69,11 @@
         Ok(caller) => caller,
         Err(Denied::NoKey) => return reply_with(node, Reply::NoKey),
         Err(Denied::Unsure) => {
-            return refuse(node, &call.id, "key not found in a configuration that may be outdated");
+            return refuse(
+                node,
+                &call.id,
+                "key not found in a configuration that may be outdated",
+            );
         }
     };
     let time = call.time_left.unwrap_or(DEFAULT_TIMEOUT);
@@ -88,7 +96,9 @@
         customer: caller.name().cloned(),
         meter: meter(&caller),
     };
-    OnlineRequest::new(node, route, request, arrival).run().await
+    OnlineRequest::new(node, route, request, arrival)
+        .run()
+        .await
 }
 
 /// Returns the rank of a request: that of its customer, or else that of its route.
@@ -127,7 +137,8 @@
     match forward(node, &call.id, head, body, Duration::ZERO).await {
         Forwarded::Answered(answer) => answer,
         Forwarded::NotSent => {
-            let refuse = || batch::intake::refuse(call, "no host that follows the job log was reached");
+            let refuse =
+                || batch::intake::refuse(call, "no host that follows the job log was reached");
             reply_with(node, refused.unwrap_or_else(refuse))
         }
         // The other host may have accepted the job.
--- a/crates/tinbank-gateway/src/relay/online.rs
+++ b/crates/tinbank-gateway/src/relay/online.rs
@@ -21,7 +21,7 @@
 
 use super::{
     RETRY_AFTER,
-    attempt::{self, StartedAnswer, AttemptError},
+    attempt::{self, AttemptError, StartedAnswer},
     body, reply_with,
     stream::Stream,
 };
@@ -163,7 +163,10 @@
     }
 
     /// Makes one attempt. Returns `None` if it gave no answer.
-    pub async fn attempt(&mut self, resume_after: Option<u64>) -> Result<Option<StartedAnswer>, Next> {
+    pub async fn attempt(
+        &mut self,
+        resume_after: Option<u64>,
+    ) -> Result<Option<StartedAnswer>, Next> {
         self.subtract_suspension();
         let now = Instant::now();
         if now >= self.admission.deadline {
--- a/crates/tinbank-gateway/src/sharing.rs
+++ b/crates/tinbank-gateway/src/sharing.rs
@@ -6,9 +6,9 @@
 mod ask;
 mod counts;
 mod held;
+mod load_poll;
 mod peers;
 mod pending;
-mod load_poll;
 
 use std::{
     cell::{Cell, RefCell},
@@ -39,8 +39,8 @@
 pub(crate) use self::{
     counts::broadcast_counts,
     held::Lease,
-    peers::{heartbeat, receive},
     load_poll::poll_upstream_load,
+    peers::{heartbeat, receive},
 };
 
 /// Age of the last read of the store up to which the store counts as reachable: twice the longest time between two
--- a/crates/tinbank-gateway/src/sharing/ask.rs
+++ b/crates/tinbank-gateway/src/sharing/ask.rs
@@ -57,7 +57,7 @@
                 match self.request_slot(node, spec, domain, *queue).await {
                     SlotResult::Granted(lease) => return Allocation::Granted(lease),
                     SlotResult::Denied => denied = true,
-                    SlotResult::OverLimit(retry_after) => return Allocation::OverLimit(retry_after),
+                    SlotResult::OverLimit(after) => return Allocation::OverLimit(after),
                     SlotResult::WaitExpired => return Allocation::Full,
                     SlotResult::Unresponsive => {}
                 }
@@ -88,7 +88,9 @@
         let mut state = self.state.borrow_mut();
         let hosts = state.directory.hosts();
         let now = Instant::now();
-        let passes = state.fallback.take(&meter.customer, meter.limit, hosts, now);
+        let passes = state
+            .fallback
+            .take(&meter.customer, meter.limit, hosts, now);
         let limit = meter.limit;
         log::info!(customer:% = meter.customer, rate_milli = limit.rate_milli, hosts, passes; "no allocator answers, request counted against this host's share of the limit");
         passes
@@ -149,7 +151,9 @@
             meter: spec.meter.cloned(),
         };
         let mut pending = Pending::send(self, allocator, request);
-        let mut verdict = pending.first_verdict(now, self.response_timeout(allocator)).await;
+        let mut verdict = pending
+            .first_verdict(now, self.response_timeout(allocator))
+            .await;
         measure::asked(spec.class, verdict.as_ref(), now.elapsed());
         if verdict == Some(Verdict::Waiting) {
             let until = now + queue.patience().unwrap_or_default();
@@ -185,7 +189,11 @@
         let (fallback, preferred): (Vec<_>, Vec<_>) = candidates
             .into_iter()
             .partition(|it| avoided.contains(&it.instance));
-        let candidates = if preferred.is_empty() { fallback } else { preferred };
+        let candidates = if preferred.is_empty() {
+            fallback
+        } else {
+            preferred
+        };
         let start = self.next_lease_id.get() as usize % candidates.len().max(1);
         let state = self.state.borrow();
         let count = |instance: &id::Instance| {
--- a/crates/tinbank-gateway/src/sharing/ask/tests.rs
+++ b/crates/tinbank-gateway/src/sharing/ask/tests.rs
@@ -39,7 +39,8 @@
     async fn next<T>(&self, select: impl Fn(Frame) -> Option<T>) -> Option<(T, SocketAddr)> {
         let mut buffer = vec![0; MAX_BYTES];
         loop {
-            let received = time::timeout(DELIVERY_TIME, self.allocator.recv_from(&mut buffer)).await;
+            let received =
+                time::timeout(DELIVERY_TIME, self.allocator.recv_from(&mut buffer)).await;
             let (length, from) = received.ok()?.unwrap();
             if let Some(it) = select(Frame::decode(&buffer[..length]).unwrap()) {
                 return Some((it, from));
@@ -187,7 +188,7 @@
         let (lease, host) = fixture.next(slot_request).await.unwrap();
         fixture.answer(host, lease, Verdict::Waiting).await;
 
-        assert!(matches!(request.await.unwrap(), SlotResult::TimeUp));
+        assert!(matches!(request.await.unwrap(), SlotResult::WaitExpired));
         let (withdrawn, _) = fixture.next(withdrawal).await.unwrap();
         assert_eq!(withdrawn, lease);
     });
--- a/crates/tinbank-gateway/src/sharing/peers.rs
+++ b/crates/tinbank-gateway/src/sharing/peers.rs
@@ -177,7 +177,9 @@
             log::info!(upstream:%; "upstream leaves, according to a newer list of another host");
         }
         Some(Change::Learning) => {
-            log::info!("allocator collects the leases of other hosts before it grants slots to batch");
+            log::info!(
+                "allocator collects the leases of other hosts before it grants slots to batch"
+            );
         }
         None => {}
     }
--- a/crates/tinbank-gateway/src/view.rs
+++ b/crates/tinbank-gateway/src/view.rs
@@ -222,7 +222,9 @@
         let mut listing = self.upstreams.borrow_mut();
         match read {
             Ok(_) => listing.record_store_answer(Instant::now()),
-            Err(Error::NoEffect(_) | Error::Busy(_) | Error::Unknown(_)) => listing.record_store_failure(),
+            Err(Error::NoEffect(_) | Error::Busy(_) | Error::Unknown(_)) => {
+                listing.record_store_failure()
+            }
             Err(Error::Trimmed { .. } | Error::Protocol(_)) => {}
         }
     }
--- a/crates/tinbank-relay/src/lib.rs
+++ b/crates/tinbank-relay/src/lib.rs
@@ -3,10 +3,10 @@
 //! The crate does no I/O; `tinbank-gateway` does it. See `docs/design/users-platform.md`.
 
 pub mod attempt;
+pub mod caller_timeout;
 pub mod evacuation;
 pub mod event;
 pub mod listing;
-pub mod caller_timeout;
 mod remaining;
 pub mod route;
 pub mod silence;
--- a/crates/tinbank-relay/src/listing.rs
+++ b/crates/tinbank-relay/src/listing.rs
@@ -109,14 +109,18 @@
     pub fn add(&mut self, upstream: Upstream) -> Changes {
         let mut changes = Changes::new();
         let instance = upstream.instance.clone();
-        let before = self.instances.insert(upstream.name.clone(), instance.clone());
+        let before = self
+            .instances
+            .insert(upstream.name.clone(), instance.clone());
         if let Some(before) = before.filter(|it| *it != instance)
             && let Some(State::Listed(_) | State::Missing(_)) =
                 self.states.insert(before.clone(), State::Gone)
         {
             changes.push(Change::Gone(before));
         }
-        let before = self.states.insert(instance, State::Listed(upstream.clone()));
+        let before = self
+            .states
+            .insert(instance, State::Listed(upstream.clone()));
         let is_same =
             matches!(before, Some(State::Listed(before)) if is_equivalent(&before, &upstream));
         if !is_same {
--- a/crates/tinbank-relay/tests/caller_timeout.rs
+++ b/crates/tinbank-relay/tests/caller_timeout.rs
@@ -13,7 +13,9 @@
 /// Returns the results for a sequence of requests with these times left.
 fn are_first_tries(caller_timeout: &mut CallerTimeout, times: &[f32]) -> Vec<bool> {
     let times = times.iter().map(|time| seconds(*time));
-    times.map(|time| caller_timeout.is_first_try(time, LIMIT)).collect()
+    times
+        .map(|time| caller_timeout.is_first_try(time, LIMIT))
+        .collect()
 }
 
 #[test]
--- a/crates/tinbank-relay/tests/listing.rs
+++ b/crates/tinbank-relay/tests/listing.rs
@@ -8,7 +8,7 @@
 
 use proptest::prelude::*;
 use tinbank_relay::{
-    listing::{Change, MAX_ANSWER_GAP, Listing, RENEWAL_TIME},
+    listing::{Change, Listing, MAX_ANSWER_GAP, RENEWAL_TIME},
     upstream::Upstream,
 };
 use tinbank_test_support::property;
@@ -99,10 +99,7 @@
     empty_list_after_outage = { &[Fail(SECOND), Answer(SECOND), Empty], &["u0", "u1"] },
     empty_list_while_available = { &[Answer(SECOND), Empty], &[] },
 )]
-fn missing_upstreams_are_gone_only_after_the_renewal_time(
-    steps: &[Step],
-    expected: &[&str],
-) {
+fn missing_upstreams_are_gone_only_after_the_renewal_time(steps: &[Step], expected: &[&str]) {
     let (listing, _) = play(steps);
 
     assert_eq!(serving(&listing), expected);
--- a/crates/tinbank-relay/tests/route.rs
+++ b/crates/tinbank-relay/tests/route.rs
@@ -55,7 +55,11 @@
     unknown_host = { "three.example", "/p/x", None },
     unknown_path = { "one.example", "/x", None },
 )]
-fn a_request_takes_the_route_with_the_longest_prefix_on_its_host(host: &str, path: &str, name: Option<&str>) {
+fn a_request_takes_the_route_with_the_longest_prefix_on_its_host(
+    host: &str,
+    path: &str,
+    name: Option<&str>,
+) {
     let config = config();
 
     let route = config.route(host, path);
--- a/crates/tinbank-relay/tests/silence.rs
+++ b/crates/tinbank-relay/tests/silence.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use tinbank_relay::silence::{IdleTimeout, AttemptTimeout};
+use tinbank_relay::silence::{AttemptTimeout, IdleTimeout};
 use yare::parameterized;
 
 fn ms(ms: u64) -> Duration {
