--- a/crates/tinbank-gateway/src/feed.rs
+++ b/crates/tinbank-gateway/src/feed.rs
@@ -127,7 +127,7 @@
         if self.has_hosts.replace(true) {
             return self.update_role(sharing, now);
         }
-        let is_selected = sharing.is_delegate(now);
+        let is_selected = sharing.is_selected_as_delegate(now);
         self.is_first.set(sharing.is_allocator(now));
         self.is_small_fleet.set(sharing.host_count() <= SMALL_FLEET);
         self.delegation.borrow_mut().initialize(is_selected);
@@ -137,7 +137,7 @@
 
     /// Updates the role of this host, after a change of the hosts or of their responsiveness.
     pub fn update_role(&self, sharing: &Sharing, now: Instant) {
-        let is_selected = sharing.is_delegate(now);
+        let is_selected = sharing.is_selected_as_delegate(now);
         if self.delegation.borrow_mut().update(is_selected, now) {
             log::info!(delegate = is_selected; "delegate role of this host changed");
             self.changed.notify_waiters();
