--- a/crates/tinbank-gateway/src/batch/follower.rs
+++ b/crates/tinbank-gateway/src/batch/follower.rs
@@ -8,8 +8,8 @@
 use log::Level;
 use tinbank_feed::Patience;
 use tinbank_jobs::{
-    fold::{Change, Verdict},
-    fragment::{Joiner, Whole},
+    change::{Change, Verdict},
+    fragment::{Joined, Joiner},
     job::Job,
     record::{JobId, Record},
 };
@@ -163,8 +163,8 @@
     let batch = &node.batch;
     let mut offset = from;
     for piece in &page.records {
-        if let Some(whole) = joiner.push(offset, piece) {
-            apply(node, whole);
+        if let Some(joined) = joiner.push(offset, piece) {
+            apply(node, joined);
         }
         offset += 1;
     }
@@ -178,20 +178,20 @@
     batch.changed.notify_waiters();
 }
 
-fn apply(node: &Node, whole: Whole) {
-    let record = match Record::decode(&whole.bytes) {
+fn apply(node: &Node, joined: Joined) {
+    let record = match Record::decode(&joined.bytes) {
         Ok(record) => record,
         Err(error) => {
-            log::error!(offset = whole.offset, error:%; "record of jobs skipped");
+            log::error!(offset = joined.offset, error:%; "record of jobs skipped");
             return;
         }
     };
     let contents = contents::inline(&record).cloned();
-    let change = node.batch.table.borrow_mut().apply(whole.offset, record);
+    let change = node.batch.table.borrow_mut().apply(joined.offset, record);
     match change {
         Change::Submitted { call, job, verdict } => {
             let level = level(node, &job);
-            log::log!(level, job:%, offset = whole.offset, verdict:?; "job submitted");
+            log::log!(level, job:%, offset = joined.offset, verdict:?; "job submitted");
             if let Some(contents) = contents
                 && verdict == Verdict::Accepted
                 && owner::holds(node, &job)
@@ -207,24 +207,24 @@
         }
         Change::Finished { job, index } => {
             if node.batch.runner.finished(&job, index) {
-                log::info!(job:%, item = index, offset = whole.offset; "item finished");
+                log::info!(job:%, item = index, offset = joined.offset; "item finished");
             }
         }
-        Change::Advanced { job, index, run } => node.batch.runner.advanced(&job, index, run),
-        Change::Refused { job, index, run } => {
+        Change::Checkpointed { job, index, run } => node.batch.runner.advanced(&job, index, run),
+        Change::Conflict { job, index, run } => {
             let level = level(node, &job);
-            log::log!(level, job:%, item = index, offset = whole.offset, run; "run of an item refused, another one is further");
+            log::log!(level, job:%, item = index, offset = joined.offset, run; "run of an item refused, another one is further");
             node.batch.runner.refused(&job, index, run);
         }
-        Change::Ended { job } => {
+        Change::Cancelled { job } => {
             let level = level(node, &job);
-            log::log!(level, job:%, offset = whole.offset; "job ended by its caller");
+            log::log!(level, job:%, offset = joined.offset; "job ended by its caller");
             node.batch.runner.ended(&job);
         }
         Change::Failed { job, index } => {
-            log::debug!(job:%, item = index, offset = whole.offset; "run of an item failed");
+            log::debug!(job:%, item = index, offset = joined.offset; "run of an item failed");
         }
-        Change::Dropped => log::debug!(offset = whole.offset; "record of jobs dropped"),
+        Change::Dropped => log::debug!(offset = joined.offset; "record of jobs dropped"),
     }
 }
 
--- a/crates/tinbank-gateway/src/batch/large.rs
+++ b/crates/tinbank-gateway/src/batch/large.rs
@@ -130,9 +130,9 @@
             return Err(Error::Protocol(why.to_owned()));
         }
         for piece in &page.records {
-            if let Some(whole) = joiner.push(next, piece) {
+            if let Some(joined) = joiner.push(next, piece) {
                 // The page is larger than the record; what is kept must not hold all of it.
-                return Ok(Bytes::copy_from_slice(&whole.bytes));
+                return Ok(Bytes::copy_from_slice(&joined.bytes));
             }
             next += 1;
         }
--- a/crates/tinbank-gateway/src/batch/mod.rs
+++ b/crates/tinbank-gateway/src/batch/mod.rs
@@ -17,7 +17,7 @@
     rc::Rc,
 };
 
-use tinbank_jobs::{Table, fold::Verdict, record::JobId};
+use tinbank_jobs::{Table, change::Verdict, record::JobId};
 use tokio::sync::{Notify, oneshot};
 
 use crate::{
--- a/crates/tinbank-gateway/src/batch/owner.rs
+++ b/crates/tinbank-gateway/src/batch/owner.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use tinbank_jobs::{
-    holdings::{Holdings, Lost},
+    partitions::{Partitions, Revoked},
     record::JobId,
 };
 use tokio::time;
@@ -32,7 +32,7 @@
 /// The process's membership in the group.
 #[derive(Default)]
 pub(super) struct Owner {
-    holdings: RefCell<Holdings>,
+    holdings: RefCell<Partitions>,
     /// Rises with each change of the group.
     generation: Cell<u64>,
     renewed_at: Cell<Option<Instant>>,
@@ -61,7 +61,7 @@
 pub(super) fn holds(node: &Node, job: &JobId) -> bool {
     let partition = partition(job, node.settings.store.partitions);
     let owner = &node.batch.owner;
-    owner.is_renewed(ttl(node)) && owner.holdings.borrow().has(partition)
+    owner.is_renewed(ttl(node)) && owner.holdings.borrow().owns(partition)
 }
 
 /// True if this process may start items of a job now.
@@ -102,7 +102,7 @@
 
 /// Stops the items of partitions that are lost, so that the next holder goes on where they stand. True if there were any:
 /// the store gives such a partition to another one only when this process has joined again.
-fn hand_over(node: &Node, lost: &Lost) -> bool {
+fn hand_over(node: &Node, lost: &Revoked) -> bool {
     if lost.is_empty() {
         return false;
     }
@@ -165,7 +165,7 @@
 }
 
 /// Joins the group, or stays in it. The partitions that are lost since the last time.
-async fn join(node: &Node) -> Result<Lost, crate::border::store::Error> {
+async fn join(node: &Node) -> Result<Revoked, crate::border::store::Error> {
     let membership = membership(node);
     let asked_at = Instant::now();
     let until = asked_at + CALL_TIMEOUT;
@@ -174,7 +174,7 @@
     owner.renewed_at.set(Some(asked_at));
     owner.generation.set(assignment.generation);
     let mut holdings = owner.holdings.borrow_mut();
-    let before: Vec<u32> = holdings.partitions().collect();
+    let before: Vec<u32> = holdings.iter().collect();
     let lost = holdings.assign(&assignment.partitions, Instant::now());
     if before != assignment.partitions {
         log::info!(
--- a/crates/tinbank-gateway/src/batch/results.rs
+++ b/crates/tinbank-gateway/src/batch/results.rs
@@ -5,7 +5,7 @@
 use bytes::{Bytes, BytesMut};
 use futures_util::{StreamExt, stream};
 use tinbank_jobs::{
-    job::{Final, Job},
+    job::{ItemResult, Job},
     record::Stored,
 };
 use tokio::time;
@@ -37,7 +37,7 @@
 struct Outline {
     total: u32,
     next: usize,
-    results: Vec<(String, Final)>,
+    results: Vec<(String, ItemResult)>,
 }
 
 /// Results of a job from a position on.
@@ -81,8 +81,8 @@
     let from = outline.next - outline.results.len();
     let filled = outline.results.iter().map(|(item, result)| async move {
         let result = match result {
-            Final::Abandoned(reason) => Ok(Text::Abandoned(*reason)),
-            Final::Completed(pieces) => text(node, pieces).await.map(Text::Completed),
+            ItemResult::Abandoned(reason) => Ok(Text::Abandoned(*reason)),
+            ItemResult::Completed(pieces) => text(node, pieces).await.map(Text::Completed),
         };
         (item, result)
     });
@@ -131,7 +131,7 @@
     let known = |node: &Node| {
         let table = node.batch.table.borrow();
         let job = table.job(job)?;
-        Some((job.waiting(item), job.contents))
+        Some((job.runnable_index(item), job.contents))
     };
     if known(node).is_none() {
         let until = Instant::now() + CATCH_UP_TIMEOUT;
@@ -180,7 +180,7 @@
 }
 
 fn listed(node: &Node, job: &str) -> Option<usize> {
-    node.batch.table.borrow().job(job).map(Job::listed)
+    node.batch.table.borrow().job(job).map(Job::result_count)
 }
 
 fn outline(node: &Node, job: &str, from: usize) -> Option<Outline> {
@@ -196,15 +196,15 @@
         results.push((listed.item.to_owned(), listed.result.clone()));
     }
     Some(Outline {
-        total: job.total() as u32,
+        total: job.item_count() as u32,
         next: from + results.len(),
         results,
     })
 }
 
-fn text_bytes(result: &Final) -> usize {
+fn text_bytes(result: &ItemResult) -> usize {
     match result {
-        Final::Completed(pieces) => pieces.iter().map(|piece| piece.bytes as usize).sum(),
-        Final::Abandoned(_) => 0,
+        ItemResult::Completed(pieces) => pieces.iter().map(|piece| piece.bytes as usize).sum(),
+        ItemResult::Abandoned(_) => 0,
     }
 }
--- a/crates/tinbank-gateway/src/batch/runner.rs
+++ b/crates/tinbank-gateway/src/batch/runner.rs
@@ -13,8 +13,8 @@
 use tinbank_allocator::{frame::Queue, lease::Class};
 use tinbank_base::id;
 use tinbank_jobs::{
-    pace::Pace,
-    record::{Advance, Failure, Finish, Index, JobId, Outcome, Reason, Record, RunId},
+    estimate::Estimator,
+    record::{Checkpoint, Failure, Finish, Index, JobId, Outcome, Reason, Record, RunId},
 };
 use tokio::{sync::Notify, task, time};
 
@@ -52,7 +52,7 @@
     paused: RefCell<HashMap<Key, Paused>>,
     /// Since when the route of a job is gone.
     routes_gone: RefCell<HashMap<JobId, Instant>>,
-    pace: RefCell<Pace>,
+    pace: RefCell<Estimator>,
     first_run: RunId,
     next_run: Cell<RunId>,
 }
@@ -251,8 +251,8 @@
         return runner.hold_back(key, until);
     }
     let max_attempts = job.max_attempts;
-    let in_log = job.progress(key.1).last;
-    let failures = job.failures(key.1);
+    let in_log = job.progress(key.1).last_event;
+    let failures = job.failure_count(key.1);
     drop(table);
     let paused = runner.paused.borrow_mut().remove(&key);
     let mut paused = paused.unwrap_or_default();
@@ -302,9 +302,9 @@
         let mut progress = progress.into_inner();
         let last = progress.last;
         let mut pace = self.node.batch.runner.pace.borrow_mut();
-        pace.note(last - after, started_at.elapsed());
+        pace.record_run(last - after, started_at.elapsed());
         if ended == Ended::Completed {
-            pace.completed(last);
+            pace.record_completed(last);
         }
         drop(pace);
         log::info!(job:% = self.key.0, item = self.key.1, upstream:%, run = number, last, ended:?; "item left its upstream");
@@ -364,7 +364,7 @@
     /// Writes how far the run has got.
     fn advance(&self, progress: &mut Progress) {
         let (piece, data) = progress.piece();
-        let record = Record::Advanced(Advance {
+        let record = Record::Checkpointed(Checkpoint {
             job: self.key.0.clone(),
             submission: self.submission,
             index: self.key.1,
--- a/crates/tinbank-gateway/src/batch/runner/next.rs
+++ b/crates/tinbank-gateway/src/batch/runner/next.rs
@@ -10,7 +10,7 @@
 use tinbank_jobs::{
     job::Job,
     record::{Index, Item},
-    schedule::{self, Due, Now, State, Step},
+    schedule::{self, Decision, Due, Now, State},
 };
 use tinbank_relay::route::Config;
 
@@ -37,7 +37,7 @@
     }
     let config = node.view.config()?;
     let table = node.batch.table.borrow();
-    let owned = table.open().filter(|job| owner::may_start(node, &job.id));
+    let owned = table.open_jobs().filter(|job| owner::may_start(node, &job.id));
     owned
         .filter_map(|job| next_of(node, &config, job))
         .min_by_key(|candidate| candidate.due)
@@ -51,10 +51,10 @@
     for (index, item) in job.pending() {
         let key = (job.id.clone(), index);
         let state = state(node, config, job, index, item);
-        let due = match schedule::step(job, state, &runner.pace.borrow(), now) {
-            Step::Run(due) => due,
-            Step::Wait => continue,
-            Step::GiveUp(reason) => {
+        let due = match schedule::decide(job, state, &runner.pace.borrow(), now) {
+            Decision::Run(due) => due,
+            Decision::Wait => continue,
+            Decision::Abandon(reason) => {
                 give_up(node, key, job.submission, reason);
                 continue;
             }
@@ -84,24 +84,24 @@
     State {
         is_running: runner.running.borrow().contains_key(&key),
         paused_until: paused.and_then(|paused| paused.until),
-        last: last.max(job.progress(index).last),
+        last_event: last.max(job.progress(index).last_event),
         route: route(node, config, job, item),
     }
 }
 
 /// Whether the configuration has a route for an item, and since when it has none.
-fn route(node: &Node, config: &Config, job: &Job, item: &Item) -> schedule::Route {
+fn route(node: &Node, config: &Config, job: &Job, item: &Item) -> schedule::RouteState {
     let mut gone = node.batch.runner.routes_gone.borrow_mut();
     if config.route(&job.host, &item.path).is_some() {
         gone.remove(&job.id);
-        return schedule::Route::Known;
+        return schedule::RouteState::Present;
     }
     let now = Instant::now();
     if !node.view.is_config_fresh(now) {
-        return schedule::Route::Unsure;
+        return schedule::RouteState::Unknown;
     }
     let since = gone.entry(job.id.clone()).or_insert(now);
-    schedule::Route::GoneSince(*since)
+    schedule::RouteState::MissingSince(*since)
 }
 
 fn candidate(node: &Node, config: &Config, job: &Job, index: Index, due: Due) -> Option<Candidate> {
--- a/crates/tinbank-gateway/src/batch/submission.rs
+++ b/crates/tinbank-gateway/src/batch/submission.rs
@@ -4,7 +4,7 @@
 
 use tinbank_customer::Caller;
 use tinbank_jobs::{
-    fold::Verdict,
+    change::Verdict,
     fragment,
     record::{Attachment, Contents, JobId, Record, Stored, Submission},
     scope,
@@ -231,7 +231,7 @@
     let deadline = Instant::now() + END_TIMEOUT;
     let ended = |node: &Node| {
         let table = node.batch.table.borrow();
-        table.job(&job).map(|job| job.ended)
+        table.job(&job).map(|job| job.cancelled)
     };
     if ended(node).is_none() {
         let until = Instant::now() + CATCH_UP_TIMEOUT;
@@ -244,7 +244,7 @@
         Some(true) => return Reply::Ended,
         Some(false) => {}
     }
-    match write(node, &Record::Ended(job.clone()), deadline).await {
+    match write(node, &Record::Cancelled(job.clone()), deadline).await {
         Written::At(offset) => {
             // This host answers for the end from now on, so it has to know it itself.
             match follower::reached(node, offset + 1, deadline).await {
--- a/crates/tinbank-jobs/src/fold.rs
+++ b/crates/tinbank-jobs/src/change.rs
@@ -1,37 +1,37 @@
-//! What a record changes.
+//! Effects of applying a record.
 
 use crate::record::{Index, JobId, RunId};
 
-/// What a record did to the table, for those who wait for it and for the log.
+/// The effect of a record on the table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A submit call had its verdict.
+    /// A submission was decided.
     Submitted {
         /// The submit call.
         call: u64,
-        /// Its job.
+        /// The job.
         job: JobId,
-        /// Whether the job is the system's to keep.
+        /// Whether the job was accepted.
         verdict: Verdict,
     },
-    /// An item has its result.
+    /// The result of an item was recorded.
     Finished {
         /// The job.
         job: JobId,
         /// The item.
         index: Index,
     },
-    /// An item's text has grown.
-    Advanced {
+    /// A piece was appended to an item's text.
+    Checkpointed {
         /// The job.
         job: JobId,
         /// The item.
         index: Index,
-        /// The run that the text is from now on.
+        /// The run that produced the piece.
         run: RunId,
     },
-    /// A run does not go on where the item's text stands; what it has is of no use.
-    Refused {
+    /// A run does not continue the item's text, so its output is discarded.
+    Conflict {
         /// The job.
         job: JobId,
         /// The item.
@@ -39,32 +39,32 @@
         /// The run.
         run: RunId,
     },
-    /// One more run of an item has failed.
+    /// A failed run of an item was counted.
     Failed {
         /// The job.
         job: JobId,
         /// The item.
         index: Index,
     },
-    /// A job was ended.
-    Ended {
+    /// A job was cancelled.
+    Cancelled {
         /// The job.
         job: JobId,
     },
-    /// The record came too late, a second time, or for a job that is not known.
+    /// The record was late, a duplicate, or for an unknown job, and had no effect.
     Dropped,
 }
 
-/// What became of a submission at its place in the log. It is the same at every host.
+/// The decision on a submission, which depends only on the records before it and so is the same at every host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is accepted.
+    /// The job is accepted.
     Accepted,
     /// A job of this name was accepted before.
     Known,
-    /// It does not fit the quota, and will never run.
+    /// The job exceeds the quota and will never run.
     OverQuota {
-        /// Tokens of its customer that waited on the route.
+        /// Tokens that the customer has waiting on the route.
         waiting: u64,
     },
 }
--- a/crates/tinbank-jobs/src/fragment.rs
+++ b/crates/tinbank-jobs/src/fragment.rs
@@ -1,53 +1,53 @@
-//! Splits records that are larger than the log takes, and puts them together again.
+//! Splits records that exceed the log's record size into fragments, and joins them again.
 //!
-//! The pieces of one record stand next to each other, because one append writes them all or none.
+//! All fragments of a record are written by one append, so they are adjacent.
 
 use bytes::{BufMut, Bytes, BytesMut};
 
-/// Marks the last piece of a record.
+/// First byte of the last fragment of a record.
 const LAST: u8 = 0;
-/// Marks a piece behind which the next one follows.
+/// First byte of any other fragment.
 const MORE: u8 = 1;
 
-/// The pieces of a record, each of at most `limit` bytes.
+/// Splits a record into fragments of at most `limit` bytes each.
 pub fn split(record: &Bytes, limit: usize) -> Vec<Bytes> {
     let size = limit.max(2) - 1;
     let count = record.len().div_ceil(size).max(1);
-    let pieces = (0..count).map(|index| {
+    let fragments = (0..count).map(|index| {
         let from = index * size;
         let to = (from + size).min(record.len());
-        let mut piece = BytesMut::with_capacity(1 + to - from);
-        piece.put_u8(if index + 1 == count { LAST } else { MORE });
-        piece.put_slice(&record[from..to]);
-        piece.freeze()
+        let mut fragment = BytesMut::with_capacity(1 + to - from);
+        fragment.put_u8(if index + 1 == count { LAST } else { MORE });
+        fragment.put_slice(&record[from..to]);
+        fragment.freeze()
     });
-    pieces.collect()
+    fragments.collect()
 }
 
-/// Puts the pieces of one partition together, in the order of their offsets.
+/// Joins the fragments of a partition, which are pushed in the order of their offsets.
 #[derive(Debug, Default)]
 pub struct Joiner {
     first: Option<u64>,
     buffer: BytesMut,
 }
 
-/// A whole record.
+/// A record joined from its fragments.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Whole {
-    /// Offset of its first piece.
+pub struct Joined {
+    /// Offset of the first fragment.
     pub offset: u64,
-    /// Its bytes.
+    /// The record.
     pub bytes: Bytes,
 }
 
 impl Joiner {
-    /// Takes in the piece at an offset. The record, if this was its last piece.
-    pub fn push(&mut self, offset: u64, piece: &Bytes) -> Option<Whole> {
-        let (&mark, rest) = piece.split_first()?;
+    /// Adds a fragment, and returns the record if it is the last one.
+    pub fn push(&mut self, offset: u64, fragment: &Bytes) -> Option<Joined> {
+        let (&mark, rest) = fragment.split_first()?;
         if mark == LAST && self.first.is_none() {
-            return Some(Whole {
+            return Some(Joined {
                 offset,
-                bytes: piece.slice(1..),
+                bytes: fragment.slice(1..),
             });
         }
         self.first.get_or_insert(offset);
@@ -57,10 +57,10 @@
         }
         let offset = self.first.take()?;
         let bytes = self.buffer.split().freeze();
-        Some(Whole { offset, bytes })
+        Some(Joined { offset, bytes })
     }
 
-    /// Forgets the pieces of a record whose rest is gone.
+    /// Discards the fragments of an incomplete record.
     pub fn reset(&mut self) {
         self.first = None;
         self.buffer.clear();
--- a/crates/tinbank-jobs/src/job.rs
+++ b/crates/tinbank-jobs/src/job.rs
@@ -1,4 +1,4 @@
-//! One job as the log tells it.
+//! State of one job.
 
 use std::time::{Duration, SystemTime};
 
@@ -12,33 +12,34 @@
 /// A job.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// Name of the job.
+    /// Internal name of the job.
     pub id: JobId,
     /// Offset of its submission in the log.
     pub submission: u64,
-    /// Host name that it was submitted under.
+    /// Host name of the submit call.
     pub host: String,
-    /// Customer that submitted it, if it is a customer's.
+    /// Customer that submitted it, if any.
     pub customer: Option<id::Customer>,
     /// Route whose quota it counts against.
     pub route: String,
-    /// Failures after which an item is given up.
+    /// Failed runs after which an item is abandoned.
     pub max_attempts: u32,
     /// When it was submitted.
     pub submitted_at: SystemTime,
     /// When its results are due.
     pub due_at: SystemTime,
-    /// From when on an item may be given up.
+    /// When its unfinished items expire.
     pub expires_at: SystemTime,
-    /// The caller has ended it.
-    pub ended: bool,
-    /// Where the contents of its items stand.
+    /// Whether the caller has cancelled it.
+    pub cancelled: bool,
+    /// Where the contents of its items are stored.
     pub contents: Source,
     entries: Vec<Entry>,
-    listed: Vec<Index>,
+    /// Items with a result, in the order of the log.
+    finished: Vec<Index>,
 }
 
-/// Where the contents of a job's items are read.
+/// Where the contents of a job's items are stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// In the job's submission, at this offset of the log.
@@ -47,52 +48,52 @@
     Stored(Stored),
 }
 
-/// An item and what came of it.
+/// State of an item.
 #[derive(Clone, Debug)]
 struct Entry {
     item: Item,
     progress: Progress,
     text: Vec<Stored>,
     failed_runs: SmallVec<[RunId; 2]>,
-    result: Option<Final>,
+    result: Option<ItemResult>,
 }
 
-/// The result of an item, whole.
+/// The result of an item.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Final {
-    /// Where the data of all events stands, in order, each with a line feed behind it.
+pub enum ItemResult {
+    /// The item is completed. The pieces of its text, in order; each event's data ends with a line feed.
     Completed(Vec<Stored>),
-    /// The item is given up, for the reason given.
+    /// The item was abandoned.
     Abandoned(Reason),
 }
 
-/// How far an item's text has got.
+/// Position up to which an item's text is in the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Progress {
-    /// Last event of the text; 0 before the first.
-    pub last: u64,
-    /// The run that it is from; 0 before the first.
+    /// Last event of the text; 0 if there is none.
+    pub last_event: u64,
+    /// The run that produced it; 0 if there is none.
     pub run: RunId,
 }
 
-/// What became of a piece or a result.
+/// The effect of a piece or a result on its item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Step {
-    /// It counts.
-    Taken,
-    /// It counted before, or comes too late.
-    Known,
-    /// Its run does not go on where the text stands.
-    Refused,
+pub(crate) enum Effect {
+    /// It was applied.
+    Applied,
+    /// It was a duplicate, or the item may no longer change.
+    Dropped,
+    /// Its run does not continue the item's text.
+    Conflict,
 }
 
-/// One result at its position.
+/// A result with the name of its item.
 #[derive(Clone, Copy, Debug)]
 pub struct Listed<'a> {
     /// Name of the item.
     pub item: &'a str,
-    /// What came of it.
-    pub result: &'a Final,
+    /// Its result.
+    pub result: &'a ItemResult,
 }
 
 impl Job {
@@ -108,34 +109,34 @@
             submitted_at: it.submitted_at,
             due_at: it.submitted_at + it.target,
             expires_at: it.submitted_at + it.retention,
-            ended: false,
+            cancelled: false,
             contents: match it.contents {
                 Attachment::Inline(_) => Source::Submission(submission),
                 Attachment::Stored(stored) => Source::Stored(stored),
             },
             entries: entries.map(Entry::new).collect(),
-            listed: Vec::new(),
+            finished: Vec::new(),
         }
     }
 
-    /// Number of items.
-    pub fn total(&self) -> usize {
+    /// Returns the number of items.
+    pub fn item_count(&self) -> usize {
         self.entries.len()
     }
 
-    /// Number of results.
-    pub fn listed(&self) -> usize {
-        self.listed.len()
+    /// Returns the number of results.
+    pub fn result_count(&self) -> usize {
+        self.finished.len()
     }
 
-    /// True while an item may still run.
+    /// Returns whether an item may still run.
     pub fn is_open(&self) -> bool {
-        !self.ended && self.listed.len() < self.entries.len()
+        !self.cancelled && self.finished.len() < self.entries.len()
     }
 
-    /// Results from a position on, in the order of the log.
+    /// Returns the results from a position on, in the order of the log.
     pub fn results(&self, from: usize) -> impl Iterator<Item = Listed<'_>> {
-        self.listed.iter().skip(from).filter_map(|index| {
+        self.finished.iter().skip(from).filter_map(|index| {
             let entry = self.entries.get(*index as usize)?;
             Some(Listed {
                 item: &entry.item.id,
@@ -144,7 +145,7 @@
         })
     }
 
-    /// Items without a result, in the caller's order.
+    /// Returns the items without a result, in the order in which they were submitted.
     pub fn pending(&self) -> impl Iterator<Item = (Index, &Item)> {
         (0..)
             .zip(&self.entries)
@@ -152,61 +153,61 @@
             .map(|(index, entry)| (index, &entry.item))
     }
 
-    /// How far an item's text has got in the log.
+    /// Returns up to which event an item's text is in the log.
     pub fn progress(&self, index: Index) -> Progress {
         let entry = self.entries.get(index as usize);
         entry.map(|entry| entry.progress).unwrap_or_default()
     }
 
-    /// An item that has no result yet and may still run.
+    /// Returns an item if it may still run.
     pub fn runnable(&self, index: Index) -> Option<&Item> {
         let entry = self.entries.get(index as usize)?;
-        (!self.ended && entry.result.is_none()).then_some(&entry.item)
+        (!self.cancelled && entry.result.is_none()).then_some(&entry.item)
     }
 
-    /// The index of an item of a job that was not ended, by its name, as long as it has no result.
-    pub fn waiting(&self, item: &str) -> Option<Index> {
+    /// Returns the index of the item of this name if it may still run.
+    pub fn runnable_index(&self, item: &str) -> Option<Index> {
         let mut pending = self.pending();
         let (index, _) = pending.find(|(_, pending)| pending.id == item)?;
-        (!self.ended).then_some(index)
+        (!self.cancelled).then_some(index)
     }
 
-    /// True if the item has a result.
+    /// Returns whether the item has a result.
     pub fn is_finished(&self, index: Index) -> bool {
         self.entries
             .get(index as usize)
             .is_none_or(|entry| entry.result.is_some())
     }
 
-    /// Tokens of the items that may still run.
+    /// Returns the tokens of the items that may still run.
     pub fn waiting_tokens(&self) -> u64 {
-        if self.ended {
+        if self.cancelled {
             return 0;
         }
         self.pending().map(|(_, item)| item.tokens).sum()
     }
 
-    /// True if nobody may ask for the job any more.
-    pub(crate) fn is_past(&self, kept: Duration, now: SystemTime) -> bool {
-        !self.is_open() && self.submitted_at + kept < now
+    /// Returns whether the job is over and was submitted longer ago than `retention`.
+    pub(crate) fn can_be_pruned(&self, retention: Duration, now: SystemTime) -> bool {
+        !self.is_open() && self.submitted_at + retention < now
     }
 
-    /// Takes in a further piece of an item's text.
-    pub(crate) fn advance(&mut self, index: Index, piece: Piece) -> Step {
+    /// Appends a piece to an item's text.
+    pub(crate) fn append(&mut self, index: Index, piece: Piece) -> Effect {
         match self.pending_entry(index) {
-            Some(entry) => entry.add(piece),
-            None => Step::Known,
+            Some(entry) => entry.append(piece),
+            None => Effect::Dropped,
         }
     }
 
-    /// Runs of an item that failed at an upstream.
-    pub fn failures(&self, index: Index) -> u32 {
+    /// Returns the number of runs of an item that failed at an upstream.
+    pub fn failure_count(&self, index: Index) -> u32 {
         let entry = self.entries.get(index as usize);
         entry.map_or(0, |entry| entry.failed_runs.len() as u32)
     }
 
-    /// Takes in a run that failed. True unless it was known.
-    pub(crate) fn fail(&mut self, index: Index, run: RunId) -> bool {
+    /// Records a failed run of an item, and returns whether it was counted, that is, not a duplicate.
+    pub(crate) fn record_failure(&mut self, index: Index, run: RunId) -> bool {
         let Some(entry) = self.pending_entry(index) else {
             return false;
         };
@@ -217,36 +218,36 @@
         is_new
     }
 
-    /// Takes in a result. The first one counts.
-    pub(crate) fn finish(&mut self, index: Index, result: Outcome) -> Step {
+    /// Records the result of an item, unless it has one.
+    pub(crate) fn finish(&mut self, index: Index, result: Outcome) -> Effect {
         let Some(entry) = self.pending_entry(index) else {
-            return Step::Known;
+            return Effect::Dropped;
         };
         let result = match result {
-            Outcome::Abandoned(reason) => Final::Abandoned(reason),
+            Outcome::Abandoned(reason) => ItemResult::Abandoned(reason),
             Outcome::Completed(piece) => {
-                if entry.add(piece) == Step::Refused {
-                    return Step::Refused;
+                if entry.append(piece) == Effect::Conflict {
+                    return Effect::Conflict;
                 }
-                Final::Completed(std::mem::take(&mut entry.text))
+                ItemResult::Completed(std::mem::take(&mut entry.text))
             }
         };
         entry.result = Some(result);
         entry.text = Vec::new();
-        self.listed.push(index);
-        Step::Taken
+        self.finished.push(index);
+        Effect::Applied
     }
 
     fn pending_entry(&mut self, index: Index) -> Option<&mut Entry> {
-        if self.ended {
+        if self.cancelled {
             return None;
         }
         let entry = self.entries.get_mut(index as usize)?;
         entry.result.is_none().then_some(entry)
     }
 
-    pub(crate) fn end(&mut self) {
-        self.ended = true;
+    pub(crate) fn cancel(&mut self) {
+        self.cancelled = true;
     }
 }
 
@@ -261,20 +262,20 @@
         }
     }
 
-    fn add(&mut self, piece: Piece) -> Step {
-        let Progress { last, run } = self.progress;
-        if piece.run == run && piece.last <= last && piece.after < piece.last {
-            return Step::Known;
+    fn append(&mut self, piece: Piece) -> Effect {
+        let Progress { last_event, run } = self.progress;
+        if piece.run == run && piece.last <= last_event && piece.after < piece.last {
+            return Effect::Dropped;
         }
-        let goes_on = piece.run == run || piece.started_after == last;
-        if piece.after != last || !goes_on {
-            return Step::Refused;
+        let continues = piece.run == run || piece.started_after == last_event;
+        if piece.after != last_event || !continues {
+            return Effect::Conflict;
         }
         self.text.push(piece.text);
         self.progress = Progress {
-            last: piece.last,
+            last_event: piece.last,
             run: piece.run,
         };
-        Step::Taken
+        Effect::Applied
     }
 }
--- a/crates/tinbank-jobs/src/lib.rs
+++ b/crates/tinbank-jobs/src/lib.rs
@@ -1,14 +1,13 @@
-//! Batch jobs of opaque items as a fold over the platform's log.
+//! State of batch jobs, derived by replaying the job log.
 //!
-//! Every host folds the same records in the same order, so all give the same answer about a job, at the same
-//! positions. Whatever a record says a second time, or too late, is dropped by the fold. See
-//! `docs/design/users-platform.md`.
+//! Every host applies the same records in the same order, so all hosts report the same state of a job and the same
+//! results at the same positions. Duplicate and late records have no effect. See `docs/design/users-platform.md`.
 
-pub mod fold;
+pub mod change;
+pub mod estimate;
 pub mod fragment;
-pub mod holdings;
 pub mod job;
-pub mod pace;
+pub mod partitions;
 pub mod record;
 pub mod schedule;
 pub mod scope;
--- a/crates/tinbank-jobs/src/record.rs
+++ b/crates/tinbank-jobs/src/record.rs
@@ -1,4 +1,4 @@
-//! The records of batch jobs in the log.
+//! Records of the job log.
 
 use std::time::{Duration, SystemTime};
 
@@ -7,97 +7,99 @@
 use serde_with::{DurationMilliSeconds, TimestampMilliSeconds, serde_as};
 use tinbank_base::id;
 
-/// Name under which a job is kept, see [`crate::scope`].
+/// Internal name of a job, see [`crate::scope`].
 pub type JobId = String;
-/// Name that the caller gave an item.
+/// Name of an item, given by the caller.
 pub type ItemId = String;
-/// Index of an item in its job, in the order in which the caller sent them.
+/// Index of an item in its job, in the order of the submission.
 pub type Index = u32;
 
-/// One run of an item at an upstream, by a number that no other run has.
+/// Unique number of a run of an item at an upstream.
 pub type RunId = u64;
 
-/// First byte of each record; a record of another version is skipped with a line in the log.
+/// First byte of each record. Records of another version are skipped and logged.
 const VERSION: u8 = 2;
 
-/// A record that can't be read.
+/// An error in a record.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The first byte names another version.
-    #[error("record of version {found:?}, this host reads {VERSION}")]
+    #[error("unsupported record version {found:?}, expected {VERSION}")]
     Version {
-        /// Version found, if there is any byte.
+        /// The first byte, or `None` if the record is empty.
         found: Option<u8>,
     },
-    /// The rest is no record.
-    #[error("record can't be decoded: {0}")]
+    /// The bytes after the version can't be decoded.
+    #[error("malformed record: {0}")]
     Malformed(#[from] postcard::Error),
 }
 
-/// One record.
+/// A record of the job log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// A job is submitted. It counts if it is the first of its name and fits the quota at its place in the log.
+    /// A job without a customer was submitted. It is accepted if it is the first of its name and fits the quota at this
+    /// position of the log.
     Submitted(Submission),
-    /// An item has its result. The first one counts.
+    /// An item has a result. Only its first result counts.
     Finished(Finish),
-    /// The caller ends a job: nothing of it runs any more.
-    Ended(JobId),
-    /// A run of an item has got further, so that another host can go on from there.
-    Advanced(Advance),
-    /// A customer submits a job. Records of jobs of nobody are as they were before there were customers, so both are read.
+    /// The caller cancelled a job: none of its items runs any more.
+    #[serde(rename = "Ended")]
+    Cancelled(JobId),
+    /// A run of an item has produced more text, from which another host can continue.
+    #[serde(rename = "Advanced")]
+    Checkpointed(Checkpoint),
+    /// A customer submitted a job. Separate from `Submitted` so that records from before there were customers can be read.
     SubmittedBy(id::Customer, Submission),
-    /// An upstream ran an item and failed. Hosts that run it later count on from there, so the bound on failures holds for all
-    /// of them together: without it three hosts in turn sent an item on seven times that may fail three times.
+    /// A run of an item failed at an upstream. Logged so that the bound on failures holds over all hosts that run the item.
     Failed(Failure),
 }
 
-/// A whole job, so that one append accepts all of it or nothing.
+/// A job with all its items, so that one append accepts all of it or nothing.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Submission {
-    /// Name of the job, see [`crate::scope`].
+    /// Internal name of the job, see [`crate::scope`].
     pub job: JobId,
-    /// Identifies the submit call, so that its host recognises its own record.
+    /// Identifies the submit call, so that its host recognizes its own record.
     pub call: u64,
-    /// Host name that the job was submitted under; routes are chosen by it.
+    /// Host name of the submit call, which selects the routes of its items.
     pub host: String,
     /// Name of the route whose quota the job counts against.
     pub route: String,
-    /// Most tokens of the job's customer that may wait on the route; nothing means no limit.
+    /// Limit on the tokens that the job's customer may have waiting on the route, if there is one.
     pub quota: Option<u64>,
-    /// Failures after which an item is given up.
+    /// Failed runs after which an item is abandoned.
     pub max_attempts: u32,
-    /// When the job was submitted, by the clock of the host that took it.
+    /// When the job was submitted, by the clock of the host that received it.
     #[serde_as(as = "TimestampMilliSeconds<i64>")]
     pub submitted_at: SystemTime,
-    /// For how long items are tried.
+    /// How long after the submission items may still run.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub retention: Duration,
-    /// How long after its submission every result is due.
+    /// How long after the submission all results are due.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub target: Duration,
-    /// The items.
+    /// The items of the job.
     pub items: Vec<Item>,
-    /// Their contents.
+    /// The contents of the items.
     pub contents: Attachment,
 }
 
-/// What every host knows of an item.
+/// The part of an item that every host reads.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
     /// Name of the item.
     pub id: ItemId,
     /// Path that it is sent to.
     pub path: String,
-    /// Tokens of the prompt and the most that come out, added up.
+    /// Tokens of the prompt plus the limit on tokens of the output.
     pub tokens: u64,
 }
 
-/// What an item is sent with, as it came. Only the host that runs it reads it.
+/// Headers and body of an item as submitted. Only the host that runs the item reads them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Content {
-    /// Headers of the item.
+    /// Its headers.
     pub headers: Vec<Header>,
     /// Its body.
     pub body: Bytes,
@@ -107,25 +109,25 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Contents(pub Vec<Content>);
 
-/// The contents of a job's items, as its submission has them.
+/// How a submission carries the contents of its items.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Attachment {
-    /// They are small and part of the submission, so that one append accepts the job.
+    /// Part of the submission; for small contents.
     Inline(Contents),
-    /// They are large and stand elsewhere, so that hosts that don't run the job need not read them.
+    /// In a large record, so that hosts that don't run the job need not read them.
     Stored(Stored),
 }
 
-/// Where something large stands, which hosts read only when they need it.
+/// Location of a large record, which hosts read only when they need it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Stored {
-    /// Partition of the topic of large records.
+    /// Partition of the topic for large records.
     pub partition: u32,
-    /// Offset of its first record.
+    /// Offset of its first fragment.
     pub offset: u64,
-    /// Number of records, which stand next to each other.
+    /// Number of fragments, which are adjacent.
     pub records: u32,
-    /// Bytes in all.
+    /// Total size in bytes.
     pub bytes: u32,
 }
 
@@ -143,15 +145,15 @@
 pub struct Finish {
     /// Job of the item.
     pub job: JobId,
-    /// Offset of the job's submission, so that a late record of an earlier job of the same name is dropped.
+    /// Offset of the job's submission, by which late records of an earlier job of the same name are detected.
     pub submission: u64,
     /// The item.
     pub index: Index,
-    /// What came of it.
+    /// The result.
     pub result: Outcome,
 }
 
-/// An upstream ran an item and failed.
+/// A failed run of an item at an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Failure {
     /// Job of the item.
@@ -160,13 +162,14 @@
     pub submission: u64,
     /// The item.
     pub index: Index,
-    /// The run that failed, so that a record that comes twice counts once.
+    /// The run that failed, by which duplicate records are detected.
     pub run: RunId,
 }
 
-/// A further piece of an item's text.
+/// A piece of the text of an item that is still running.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Advance {
+#[serde(rename = "Advance")]
+pub struct Checkpoint {
     /// Job of the item.
     pub job: JobId,
     /// Offset of the job's submission.
@@ -177,92 +180,92 @@
     pub piece: Piece,
 }
 
-/// A stretch of an item's text, from one run at an upstream.
+/// Consecutive events of an item's text, from one run at an upstream.
 ///
-/// Runs of one item may give different texts, so a piece counts only if its run goes on where the text stands: it is
-/// the run of the last piece, or it was asked to go on there.
+/// Runs of one item may produce different texts, so a piece is applied only if its run continues the text in the log: it
+/// is the run of the last piece, or it was asked to resume after that piece.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Piece {
     /// The run.
     pub run: RunId,
-    /// Event behind which the run was asked to go on; 0 for a run from the start.
+    /// Event after which the run was asked to resume; 0 for a run from the start.
     pub started_after: u64,
-    /// Event before the first of the piece.
+    /// The event before the first one of the piece.
     pub after: u64,
     /// Last event of the piece.
     pub last: u64,
-    /// The data of the events, each with a line feed behind it.
+    /// The data of the events, each followed by a line feed.
     pub text: Stored,
 }
 
-/// What came of an item.
+/// The outcome of an item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It is done; this is the last piece of its text.
+    /// The item is completed, with the last piece of its text.
     Completed(Piece),
-    /// The item is given up, for the reason given.
+    /// The item was abandoned.
     Abandoned(Reason),
 }
 
-/// Why an item is given up.
+/// Why an item was abandoned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reason {
-    /// An upstream says that it can never be done.
+    /// An upstream reported that it can never succeed.
     Impossible,
-    /// It failed as often as its route allows.
+    /// It failed the maximum number of times.
     Attempts,
-    /// It waited for as long as its route allows.
+    /// It did not finish within its retention period.
     Expired,
     /// Its route was removed from the configuration.
     RouteRemoved,
 }
 
 impl Contents {
-    /// About how many bytes they take.
+    /// Returns their approximate size in bytes.
     pub fn size(&self) -> usize {
         let header = |header: &Header| header.name.len() + header.value.len();
-        let of = |content: &Content| {
+        let content_size = |content: &Content| {
             content.body.len() + content.headers.iter().map(header).sum::<usize>()
         };
-        self.0.iter().map(of).sum()
+        self.0.iter().map(content_size).sum()
     }
 
-    /// The bytes of the record.
+    /// Encodes the contents as a record.
     pub fn encode(&self) -> Result<Bytes, Error> {
         encode(self)
     }
 
-    /// The contents of some bytes.
+    /// Decodes contents.
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
         decode(bytes)
     }
 }
 
 impl Record {
-    /// The bytes of a record.
+    /// Encodes the record.
     pub fn encode(&self) -> Result<Bytes, Error> {
         encode(self)
     }
 
-    /// The record of some bytes.
+    /// Decodes a record.
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
         decode(bytes)
     }
 
-    /// Says where the text stands that the record tells of, if it tells of any.
+    /// Sets the location of the text if the record has one.
     pub fn set_text(&mut self, text: Stored) {
         match self {
-            Self::Advanced(advance) => advance.piece.text = text,
+            Self::Checkpointed(checkpoint) => checkpoint.piece.text = text,
             Self::Finished(finish) => {
                 if let Outcome::Completed(piece) = &mut finish.result {
                     piece.text = text;
                 }
             }
-            Self::Submitted(_) | Self::SubmittedBy(..) | Self::Ended(_) | Self::Failed(_) => {}
+            Self::Submitted(_) | Self::SubmittedBy(..) | Self::Cancelled(_) | Self::Failed(_) => {}
         }
     }
 
-    /// The record of a submission by a customer, or by nobody.
+    /// Returns the record of a submission, with or without a customer.
     pub fn submitted(customer: Option<id::Customer>, submission: Submission) -> Self {
         match customer {
             Some(customer) => Self::SubmittedBy(customer, submission),
@@ -270,11 +273,11 @@
         }
     }
 
-    /// The submission that the record is, if it is one.
+    /// Returns the submission if the record is one.
     pub fn submission(&self) -> Option<&Submission> {
         match self {
             Self::Submitted(submission) | Self::SubmittedBy(_, submission) => Some(submission),
-            Self::Finished(_) | Self::Ended(_) | Self::Advanced(_) | Self::Failed(_) => None,
+            Self::Finished(_) | Self::Cancelled(_) | Self::Checkpointed(_) | Self::Failed(_) => None,
         }
     }
 }
--- a/crates/tinbank-jobs/src/schedule.rs
+++ b/crates/tinbank-jobs/src/schedule.rs
@@ -1,25 +1,25 @@
-//! What becomes of an item next, and which one runs first.
+//! Decides whether an item runs, waits or is abandoned, and which one runs first.
 //!
-//! It answers batch work that is more than the upstreams can carry beside online requests. Items that can't be in time any
-//! more come behind all that can: a late result is worth little, and the time that it takes makes others late as well.
+//! When there is more batch work than the upstreams can take beside online requests, items that can no longer meet their
+//! due time run after all that can: running them first would make those late as well.
 
 use std::{
     cmp::Ordering,
     time::{Duration, Instant, SystemTime},
 };
 
-use crate::{job::Job, pace::Pace, record::Reason};
+use crate::{estimate::Estimator, job::Job, record::Reason};
 
-/// Clocks of hosts may differ by this much; an item is given up only once it is surely time.
+/// Assumed bound on the clock skew between hosts; items expire this much later.
 const CLOCK_MARGIN: Duration = Duration::from_secs(5);
-/// For how long a route must have been gone before its items are given up. Source: longer than a host takes to read a new
-/// configuration, so that a route that is replaced is not taken for one that is gone.
-const ROUTE_GONE: Duration = Duration::from_secs(4);
+/// How long a route must be missing before its items are abandoned: longer than a host takes to load a configuration, so
+/// that a route that is being replaced does not count as removed.
+const ROUTE_REMOVAL_DELAY: Duration = Duration::from_secs(4);
 
-/// When an item is due. The least one runs first, the greatest one gives way first.
+/// When an item is due. Items are run in ascending and preempted in descending order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Due {
-    /// It can't be done by then any more.
+    /// The item can't be finished by then.
     pub is_late: bool,
     /// When the results of its job are due.
     pub at: SystemTime,
@@ -40,50 +40,50 @@
 
 /// Whether the configuration has a route for an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Route {
-    /// It has.
-    Known,
-    /// It has none, since then.
-    GoneSince(Instant),
-    /// It has none, and may be old.
-    Unsure,
+pub enum RouteState {
+    /// There is a route.
+    Present,
+    /// There has been none since the given time.
+    MissingSince(Instant),
+    /// There is none, but the configuration may be stale.
+    Unknown,
 }
 
-/// What a host knows of an item beside the log.
+/// Local state of an item that is not in the log.
 #[derive(Clone, Copy, Debug)]
 pub struct State {
-    /// It runs here, or its result is on the way to the log.
+    /// The item is running on this host, or its result is being written.
     pub is_running: bool,
-    /// It is not to run before then.
+    /// The item must not run before this time.
     pub paused_until: Option<Instant>,
-    /// Its last event that is in the log, or on the way there.
-    pub last: u64,
-    /// Whether its route is there.
-    pub route: Route,
+    /// Last event of the item that is in the log or being written.
+    pub last_event: u64,
+    /// State of the item's route.
+    pub route: RouteState,
 }
 
-/// What becomes of an item now.
+/// What to do with an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
-    /// It may run.
+pub enum Decision {
+    /// The item may run.
     Run(Due),
-    /// Nothing yet.
+    /// The item can't run yet.
     Wait,
-    /// It is given up.
-    GiveUp(Reason),
+    /// The item is given up.
+    Abandon(Reason),
 }
 
-/// The time on both clocks.
+/// The current time on both clocks.
 #[derive(Clone, Copy, Debug)]
 pub struct Now {
-    /// The steady clock.
+    /// Monotonic clock.
     pub steady: Instant,
-    /// The time of day.
+    /// Wall clock.
     pub wall: SystemTime,
 }
 
 impl Now {
-    /// The time now.
+    /// Reads both clocks.
     pub fn read() -> Self {
         Self {
             steady: Instant::now(),
@@ -92,32 +92,31 @@
     }
 }
 
-/// What becomes of an item of a job that this host owns.
-pub fn step(job: &Job, state: State, pace: &Pace, now: Now) -> Step {
+/// Decides what to do with an item of a job that this host owns.
+pub fn decide(job: &Job, state: State, estimator: &Estimator, now: Now) -> Decision {
     if state.is_running {
-        return Step::Wait;
+        return Decision::Wait;
     }
     if now.wall > job.expires_at + CLOCK_MARGIN {
-        return Step::GiveUp(Reason::Expired);
+        return Decision::Abandon(Reason::Expired);
     }
     match state.route {
-        Route::Known => {}
-        Route::GoneSince(at) if now.steady > at + ROUTE_GONE => {
-            return Step::GiveUp(Reason::RouteRemoved);
+        RouteState::Present => {}
+        RouteState::MissingSince(at) if now.steady > at + ROUTE_REMOVAL_DELAY => {
+            return Decision::Abandon(Reason::RouteRemoved);
         }
-        Route::GoneSince(_) | Route::Unsure => return Step::Wait,
+        RouteState::MissingSince(_) | RouteState::Unknown => return Decision::Wait,
     }
     if state.paused_until.is_some_and(|until| now.steady < until) {
-        return Step::Wait;
+        return Decision::Wait;
     }
-    Step::Run(due(job, state.last, pace, now))
+    Decision::Run(due(job, state.last_event, estimator, now))
 }
 
-/// When an item is due that has `last` events, and whether it can be done by then.
-fn due(job: &Job, last: u64, pace: &Pace, now: Now) -> Due {
-    let rest = pace.rest(last).unwrap_or_default();
+fn due(job: &Job, last_event: u64, estimator: &Estimator, now: Now) -> Due {
+    let remaining = estimator.remaining(last_event).unwrap_or_default();
     Due {
-        is_late: now.wall + rest > job.due_at,
+        is_late: now.wall + remaining > job.due_at,
         at: job.due_at,
     }
 }
--- a/crates/tinbank-jobs/src/scope.rs
+++ b/crates/tinbank-jobs/src/scope.rs
@@ -1,24 +1,23 @@
-//! Names of jobs, under which those of different customers never meet.
+//! Internal job names, which keep the jobs of different customers apart.
 //!
-//! A customer's job is kept under the customer's name and its own, so that a call by another customer finds no such job,
-//! whatever it asks.
+//! A customer's job is stored under the customer's name and its own, so that calls of another customer can't address it.
 
 use std::fmt::Write;
 
 use crate::record::JobId;
 
-/// Stands between the two names.
+/// Separates the customer's name from the job's.
 const SEPARATOR: char = '/';
-/// Stands before a code in place of a sign that a customer's name may not have here.
+/// Introduces the hexadecimal code of a character of a customer's name that has a meaning here.
 const ESCAPE: char = '%';
 
-/// The name under which a job is kept. Jobs of nobody keep the name that their caller gave them, unless it could be taken for
-/// that of a customer's job.
+/// Returns the internal name of a job. A job without a customer keeps the name that its caller gave it, unless that could
+/// be mistaken for the name of a customer's job.
 pub fn job_id(customer: Option<&str>, job: &str) -> JobId {
     let mut id = JobId::new();
     match customer {
         Some(customer) => {
-            customer.chars().for_each(|sign| push(&mut id, sign));
+            customer.chars().for_each(|character| push(&mut id, character));
             id.push(SEPARATOR);
         }
         None if job.contains(SEPARATOR) => id.push(SEPARATOR),
@@ -28,10 +27,10 @@
     id
 }
 
-fn push(id: &mut JobId, sign: char) {
-    if sign != SEPARATOR && sign != ESCAPE {
-        return id.push(sign);
+fn push(id: &mut JobId, character: char) {
+    if character != SEPARATOR && character != ESCAPE {
+        return id.push(character);
     }
     // Writing to a string can't fail.
-    let _ = write!(id, "{ESCAPE}{:02x}", u32::from(sign));
+    let _ = write!(id, "{ESCAPE}{:02x}", u32::from(character));
 }
--- a/crates/tinbank-jobs/src/table.rs
+++ b/crates/tinbank-jobs/src/table.rs
@@ -1,4 +1,4 @@
-//! All jobs, as the fold of the log.
+//! The table of all jobs, built by applying the records of the log in order.
 
 use std::{
     collections::HashMap,
@@ -8,9 +8,9 @@
 use tinbank_base::id;
 
 use crate::{
-    fold::{Change, Verdict},
-    job::{Job, Step},
-    record::{Advance, Failure, Finish, JobId, Outcome, Record, Submission},
+    change::{Change, Verdict},
+    job::{Effect, Job},
+    record::{Checkpoint, Failure, Finish, JobId, Outcome, Record, Submission},
 };
 
 /// The jobs of all routes.
@@ -20,7 +20,7 @@
 }
 
 impl Table {
-    /// Takes in the record at an offset.
+    /// Applies the record at an offset.
     pub fn apply(&mut self, offset: u64, record: Record) -> Change {
         match record {
             Record::Submitted(submission) => self.submit(offset, None, submission),
@@ -28,42 +28,43 @@
                 self.submit(offset, Some(customer), submission)
             }
             Record::Finished(finish) => self.finish(finish),
-            Record::Ended(job) => self.end(job),
-            Record::Advanced(advance) => self.advance(advance),
+            Record::Cancelled(job) => self.cancel(job),
+            Record::Checkpointed(checkpoint) => self.checkpoint(checkpoint),
             Record::Failed(failure) => self.fail(failure),
         }
     }
 
-    /// A job by its name.
+    /// Returns a job by its internal name.
     pub fn job(&self, id: &str) -> Option<&Job> {
         self.jobs.get(id)
     }
 
-    /// Jobs that may still run, in no order.
-    pub fn open(&self) -> impl Iterator<Item = &Job> {
+    /// Returns the jobs with items that may still run, in no particular order.
+    pub fn open_jobs(&self) -> impl Iterator<Item = &Job> {
         self.jobs.values().filter(|job| job.is_open())
     }
 
-    /// Number of jobs kept.
+    /// Returns the number of jobs.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// True if no job is kept.
+    /// Returns whether there are no jobs.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 
-    /// Tokens of the items of a customer that wait on a route.
+    /// Returns the tokens that a customer has waiting on a route.
     pub fn waiting_tokens(&self, route: &str, customer: Option<&id::Customer>) -> u64 {
-        let jobs = self.open().filter(|job| job.route == route);
+        let jobs = self.open_jobs().filter(|job| job.route == route);
         let jobs = jobs.filter(|job| job.customer.as_ref() == customer);
         jobs.map(Job::waiting_tokens).sum()
     }
 
-    /// Drops jobs that are over and were submitted longer ago than `kept`.
-    pub fn prune(&mut self, kept: Duration, now: SystemTime) {
-        self.jobs.retain(|_, job| !job.is_past(kept, now));
+    /// Drops jobs that are over and were submitted longer ago than `retention`.
+    pub fn prune(&mut self, retention: Duration, now: SystemTime) {
+        self.jobs
+            .retain(|_, job| !job.can_be_pruned(retention, now));
     }
 
     fn submit(
@@ -72,7 +73,7 @@
         customer: Option<id::Customer>,
         submission: Submission,
     ) -> Change {
-        let verdict = self.judge(customer.as_ref(), &submission);
+        let verdict = self.decide(customer.as_ref(), &submission);
         let call = submission.call;
         let job = submission.job.clone();
         if verdict == Verdict::Accepted {
@@ -82,7 +83,7 @@
         Change::Submitted { call, job, verdict }
     }
 
-    fn judge(&self, customer: Option<&id::Customer>, submission: &Submission) -> Verdict {
+    fn decide(&self, customer: Option<&id::Customer>, submission: &Submission) -> Verdict {
         if self.jobs.contains_key(&submission.job) {
             return Verdict::Known;
         }
@@ -97,21 +98,21 @@
         }
     }
 
-    fn advance(&mut self, advance: Advance) -> Change {
-        let Some(job) = self.live(&advance.job, advance.submission) else {
+    fn checkpoint(&mut self, checkpoint: Checkpoint) -> Change {
+        let Some(job) = self.job_of(&checkpoint.job, checkpoint.submission) else {
             return Change::Dropped;
         };
-        let run = advance.piece.run;
-        let index = advance.index;
-        match job.advance(index, advance.piece) {
-            Step::Taken => Change::Advanced {
-                job: advance.job,
+        let run = checkpoint.piece.run;
+        let index = checkpoint.index;
+        match job.append(index, checkpoint.piece) {
+            Effect::Applied => Change::Checkpointed {
+                job: checkpoint.job,
                 index,
                 run,
             },
-            Step::Known => Change::Dropped,
-            Step::Refused => Change::Refused {
-                job: advance.job,
+            Effect::Dropped => Change::Dropped,
+            Effect::Conflict => Change::Conflict {
+                job: checkpoint.job,
                 index,
                 run,
             },
@@ -119,7 +120,7 @@
     }
 
     fn finish(&mut self, finish: Finish) -> Change {
-        let Some(job) = self.live(&finish.job, finish.submission) else {
+        let Some(job) = self.job_of(&finish.job, finish.submission) else {
             return Change::Dropped;
         };
         let index = finish.index;
@@ -128,12 +129,12 @@
             Outcome::Abandoned(_) => 0,
         };
         match job.finish(index, finish.result) {
-            Step::Taken => Change::Finished {
+            Effect::Applied => Change::Finished {
                 job: finish.job,
                 index,
             },
-            Step::Known => Change::Dropped,
-            Step::Refused => Change::Refused {
+            Effect::Dropped => Change::Dropped,
+            Effect::Conflict => Change::Conflict {
                 job: finish.job,
                 index,
                 run,
@@ -142,8 +143,8 @@
     }
 
     fn fail(&mut self, failure: Failure) -> Change {
-        let job = self.live(&failure.job, failure.submission);
-        match job.is_some_and(|job| job.fail(failure.index, failure.run)) {
+        let job = self.job_of(&failure.job, failure.submission);
+        match job.is_some_and(|job| job.record_failure(failure.index, failure.run)) {
             true => Change::Failed {
                 job: failure.job,
                 index: failure.index,
@@ -152,16 +153,17 @@
         }
     }
 
-    fn live(&mut self, job: &str, submission: u64) -> Option<&mut Job> {
+    /// Returns the job of this name, unless a record is about an earlier job of the name.
+    fn job_of(&mut self, job: &str, submission: u64) -> Option<&mut Job> {
         let job = self.jobs.get_mut(job);
         job.filter(|job| job.submission == submission)
     }
 
-    fn end(&mut self, id: JobId) -> Change {
+    fn cancel(&mut self, id: JobId) -> Change {
         match self.jobs.get_mut(&id) {
-            Some(job) if !job.ended => {
-                job.end();
-                Change::Ended { job: id }
+            Some(job) if !job.cancelled => {
+                job.cancel();
+                Change::Cancelled { job: id }
             }
             _ => Change::Dropped,
         }
--- a/crates/tinbank-jobs/tests/fragment.rs
+++ b/crates/tinbank-jobs/tests/fragment.rs
@@ -1,4 +1,4 @@
-//! Records in pieces.
+//! Fragments of large records.
 
 use bytes::Bytes;
 use proptest::prelude::*;
@@ -9,7 +9,7 @@
     #![proptest_config(property::config(300))]
 
     #[test]
-    fn records_come_back_from_their_pieces(
+    fn joining_the_fragments_of_records_returns_the_records_and_their_offsets(
         records in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..50), 1..10),
         limit in 2..20usize,
     ) {
@@ -20,32 +20,32 @@
 
         for record in &records {
             offsets.push(offset);
-            for piece in split(&Bytes::copy_from_slice(record), limit) {
-                prop_assert!(piece.len() <= limit);
-                joined.extend(joiner.push(offset, &piece));
+            for fragment in split(&Bytes::copy_from_slice(record), limit) {
+                prop_assert!(fragment.len() <= limit);
+                joined.extend(joiner.push(offset, &fragment));
                 offset += 1;
             }
         }
 
-        let found: Vec<u64> = joined.iter().map(|whole| whole.offset).collect();
-        let bytes: Vec<Vec<u8>> = joined.into_iter().map(|whole| whole.bytes.to_vec()).collect();
+        let found: Vec<u64> = joined.iter().map(|record| record.offset).collect();
+        let bytes: Vec<Vec<u8>> = joined.into_iter().map(|record| record.bytes.to_vec()).collect();
         prop_assert_eq!(bytes, records);
         prop_assert_eq!(found, offsets);
     }
 }
 
 #[test]
-fn a_record_whose_first_pieces_are_gone_does_not_join_the_next() {
+fn reset_discards_the_fragments_of_an_incomplete_record() {
     let record = Bytes::from_static(b"0123456789");
-    let pieces = split(&record, 4);
+    let fragments = split(&record, 4);
     let mut joiner = Joiner::default();
-    joiner.push(0, &pieces[0]);
+    joiner.push(0, &fragments[0]);
 
     joiner.reset();
-    let whole = joiner
+    let record_after_reset = joiner
         .push(5, &split(&Bytes::from_static(b"x"), 4)[0])
         .unwrap();
 
-    assert_eq!(whole.bytes, "x");
-    assert_eq!(whole.offset, 5);
+    assert_eq!(record_after_reset.bytes, "x");
+    assert_eq!(record_after_reset.offset, 5);
 }
--- a/crates/tinbank-jobs/tests/naive/mod.rs
+++ b/crates/tinbank-jobs/tests/model/mod.rs
@@ -1,12 +1,11 @@
-//! A sequential version of one job that keeps every event with its run.
+//! Reference model of one job, which keeps every event with its run.
 
 use tinbank_jobs::record::{Outcome, Piece, Record};
 
-/// An event of a text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Event {
     run: u64,
-    /// Event behind which its run was asked to go on.
+    /// Event after which its run was asked to resume.
     started_after: u64,
     number: u64,
 }
@@ -14,55 +13,56 @@
 #[derive(Clone, Debug, Default)]
 struct Text {
     events: Vec<Event>,
-    listed: bool,
+    finished: bool,
 }
 
 /// One job whose items are named `item-0` and so on.
 #[derive(Debug)]
-pub struct Naive {
+pub struct Model {
     items: Vec<Text>,
-    listed: Vec<(u32, bool)>,
-    ended: bool,
+    /// Finished items in order, and whether each was completed.
+    results: Vec<(u32, bool)>,
+    cancelled: bool,
 }
 
-impl Naive {
+impl Model {
     pub fn new(items: usize) -> Self {
         Self {
             items: vec![Text::default(); items],
-            listed: Vec::new(),
-            ended: false,
+            results: Vec::new(),
+            cancelled: false,
         }
     }
 
     pub fn apply(&mut self, record: &Record) {
-        if self.ended {
+        if self.cancelled {
             return;
         }
         match record {
             Record::Submitted(_) | Record::SubmittedBy(..) | Record::Failed(_) => {}
-            Record::Ended(_) => self.ended = true,
-            Record::Advanced(advance) => {
-                self.add(advance.index, &advance.piece);
+            Record::Cancelled(_) => self.cancelled = true,
+            Record::Checkpointed(checkpoint) => {
+                self.append(checkpoint.index, &checkpoint.piece);
             }
             Record::Finished(finish) => {
                 let done = match &finish.result {
                     Outcome::Abandoned(_) => true,
-                    Outcome::Completed(piece) => self.add(finish.index, piece),
+                    Outcome::Completed(piece) => self.append(finish.index, piece),
                 };
                 let text = &mut self.items[finish.index as usize];
-                if done && !text.listed {
-                    text.listed = true;
+                if done && !text.finished {
+                    text.finished = true;
                     let completed = matches!(finish.result, Outcome::Completed(_));
-                    self.listed.push((finish.index, completed));
+                    self.results.push((finish.index, completed));
                 }
             }
         }
     }
 
-    /// Adds a piece if the whole text is then still one that callers may get. True if the text ends with the piece.
-    fn add(&mut self, index: u32, piece: &Piece) -> bool {
+    /// Appends a piece if the text stays consistent. Returns whether the text includes the piece.
+    fn append(&mut self, index: u32, piece: &Piece) -> bool {
         let text = &mut self.items[index as usize];
-        if text.listed {
+        if text.finished {
             return false;
         }
         let mut events = text.events.clone();
@@ -71,18 +71,18 @@
             started_after: piece.started_after,
             number,
         }));
-        if is_whole(&events) {
+        if is_consistent(&events) {
             text.events = events;
             return true;
         }
-        // What was added before may come again.
+        // A duplicate is already part of the text.
         text.events
             .last()
             .is_some_and(|last| last.run == piece.run && last.number >= piece.last)
     }
 
     pub fn texts(&self) -> Vec<(String, Option<String>)> {
-        let listed = self.listed.iter().map(|(index, completed)| {
+        let texts = self.results.iter().map(|(index, completed)| {
             let events = &self.items[*index as usize].events;
             let lines: Vec<String> = events
                 .iter()
@@ -90,19 +90,19 @@
                 .collect();
             (format!("item-{index}"), completed.then(|| lines.join("\n")))
         });
-        listed.collect()
+        texts.collect()
     }
 }
 
-/// True if the events are numbered without gaps, and each comes from the run of the one before it, or from a run that
-/// was asked to go on behind the one before it.
-fn is_whole(events: &[Event]) -> bool {
-    let numbered = (1..)
+/// Returns whether the events are numbered without gaps, and each is from the run of the previous one, or from a run that was
+/// asked to resume after the previous one.
+fn is_consistent(events: &[Event]) -> bool {
+    let is_gapless = (1..)
         .zip(events)
         .all(|(number, event)| event.number == number);
-    let joined = events
+    let is_joined = events
         .windows(2)
         .all(|pair| pair[0].run == pair[1].run || pair[1].started_after == pair[0].number);
-    let begun = events.first().is_none_or(|first| first.started_after == 0);
-    numbered && joined && begun
+    let is_from_start = events.first().is_none_or(|first| first.started_after == 0);
+    is_gapless && is_joined && is_from_start
 }
--- a/crates/tinbank-jobs/tests/fold.rs
+++ b/crates/tinbank-jobs/tests/replay.rs
@@ -1,17 +1,17 @@
-//! The fold of the records of jobs.
+//! Effects of records on the job table.
 
-mod naive;
+mod model;
 
 use std::time::{Duration, SystemTime};
 
-use naive::Naive;
+use model::Model;
 use proptest::prelude::*;
 use tinbank_jobs::{
     Table,
-    fold::{Change, Verdict},
-    job::Final,
+    change::{Change, Verdict},
+    job::ItemResult,
     record::{
-        Advance, Attachment, Failure, Finish, Item, Outcome, Piece, Reason, Record, Stored,
+        Attachment, Checkpoint, Failure, Finish, Item, Outcome, Piece, Reason, Record, Stored,
         Submission,
     },
 };
@@ -51,7 +51,7 @@
     }
 }
 
-/// Where the text of a piece stands; here its numbers say what it is.
+/// Encodes run and events of a piece in the location of its text, for [`text`] to decode.
 fn stored(run: u64, after: u64, last: u64) -> Stored {
     Stored {
         partition: run as u32,
@@ -61,6 +61,7 @@
     }
 }
 
+/// Returns a line `run.event` for each event of the pieces.
 fn text(pieces: &[Stored]) -> String {
     let lines = pieces.iter().flat_map(|piece| {
         let events = piece.offset + 1..=piece.offset + u64::from(piece.records);
@@ -69,8 +70,8 @@
     lines.collect::<Vec<_>>().join("\n")
 }
 
-fn advanced(index: u32, piece: Piece) -> Record {
-    Record::Advanced(Advance {
+fn checkpointed(index: u32, piece: Piece) -> Record {
+    Record::Checkpointed(Checkpoint {
         job: "job".to_owned(),
         submission: 0,
         index,
@@ -101,24 +102,24 @@
 }
 
 #[test]
-fn each_failed_run_of_an_item_counts_once_whoever_ran_it() {
+fn each_failed_run_of_an_item_is_counted_once() {
     let mut table = table();
 
-    // A record whose answer was lost is written again.
+    // Records are written again when the answer to an append is lost.
     let records = [failed(0, 7), failed(0, 7), failed(0, 8), failed(1, 9)];
     let changes = records.map(|record| table.apply(1, record));
 
     assert_eq!(changes[1], Change::Dropped);
     let job = table.job("job").unwrap();
-    assert_eq!([0, 1, 2].map(|index| job.failures(index)), [2, 1, 0]);
+    assert_eq!([0, 1, 2].map(|index| job.failure_count(index)), [2, 1, 0]);
 }
 
 fn texts(table: &Table) -> Vec<(String, Option<String>)> {
     let results = table.job("job").unwrap().results(0);
     let results = results.map(|listed| {
         let text = match listed.result {
-            Final::Completed(pieces) => Some(text(pieces)),
-            Final::Abandoned(_) => None,
+            ItemResult::Completed(pieces) => Some(text(pieces)),
+            ItemResult::Abandoned(_) => None,
         };
         (listed.item.to_owned(), text)
     });
@@ -139,7 +140,7 @@
 }
 
 #[test]
-fn the_first_submission_of_a_name_counts() {
+fn only_the_first_submission_of_a_job_name_is_accepted() {
     let mut table = table();
 
     let again = table.apply(1, submission("job", None));
@@ -149,7 +150,7 @@
 }
 
 #[test]
-fn a_job_beyond_the_quota_is_refused_by_the_fold_itself() {
+fn a_job_over_quota_is_rejected_when_its_record_is_applied() {
     let mut table = table();
 
     let over = table.apply(1, submission("other", Some(59)));
@@ -160,7 +161,7 @@
 }
 
 #[test]
-fn the_first_result_of_an_item_counts() {
+fn only_the_first_result_of_an_item_is_recorded() {
     let mut table = table();
 
     table.apply(1, completed(2, piece(7, 0, 0, 2)));
@@ -174,10 +175,10 @@
 }
 
 #[test]
-fn a_text_goes_on_where_another_host_stopped() {
+fn a_text_continues_with_a_run_resumed_by_another_host() {
     let mut table = table();
 
-    table.apply(1, advanced(0, piece(7, 0, 0, 2)));
+    table.apply(1, checkpointed(0, piece(7, 0, 0, 2)));
     table.apply(2, completed(0, piece(8, 2, 2, 3)));
 
     assert_eq!(
@@ -187,38 +188,38 @@
 }
 
 #[test]
-fn a_run_that_did_not_go_on_where_the_text_stands_is_refused() {
+fn a_run_that_does_not_continue_the_text_is_a_conflict() {
     let mut table = table();
-    table.apply(1, advanced(0, piece(7, 0, 0, 2)));
-    table.apply(2, advanced(0, piece(8, 2, 2, 4)));
+    table.apply(1, checkpointed(0, piece(7, 0, 0, 2)));
+    table.apply(2, checkpointed(0, piece(8, 2, 2, 4)));
 
-    // Run 7 never heard that run 8 went on behind its event 2.
-    let stale = table.apply(3, advanced(0, piece(7, 0, 2, 4)));
-    let joined = table.apply(4, completed(0, piece(7, 0, 4, 5)));
+    // Run 8 continued the text after event 2 of run 7.
+    let stale = table.apply(3, checkpointed(0, piece(7, 0, 2, 4)));
+    let completed_later = table.apply(4, completed(0, piece(7, 0, 4, 5)));
 
-    let refused = Change::Refused {
+    let conflict = Change::Conflict {
         job: "job".to_owned(),
         index: 0,
         run: 7,
     };
-    assert_eq!(stale, refused);
-    assert_eq!(joined, refused);
+    assert_eq!(stale, conflict);
+    assert_eq!(completed_later, conflict);
     assert!(texts(&table).is_empty());
 }
 
 #[test]
-fn a_piece_that_was_written_twice_counts_once() {
+fn a_duplicate_piece_is_dropped() {
     let mut table = table();
-    table.apply(1, advanced(0, piece(7, 0, 0, 2)));
+    table.apply(1, checkpointed(0, piece(7, 0, 0, 2)));
 
-    let again = table.apply(2, advanced(0, piece(7, 0, 0, 2)));
+    let again = table.apply(2, checkpointed(0, piece(7, 0, 0, 2)));
 
     assert_eq!(again, Change::Dropped);
-    assert_eq!(table.job("job").unwrap().progress(0).last, 2);
+    assert_eq!(table.job("job").unwrap().progress(0).last_event, 2);
 }
 
 #[test]
-fn a_record_of_an_earlier_job_of_the_name_is_dropped() {
+fn a_record_of_an_earlier_job_of_the_same_name_is_dropped() {
     let mut table = table();
 
     let change = table.apply(1, finished(99, 0, Outcome::Abandoned(Reason::Impossible)));
@@ -227,13 +228,13 @@
 }
 
 #[test]
-fn an_ended_job_takes_no_results_and_keeps_what_it_has() {
+fn a_cancelled_job_keeps_its_results_and_records_no_more() {
     let mut table = table();
     table.apply(1, completed(1, piece(7, 0, 0, 1)));
 
-    table.apply(2, Record::Ended("job".to_owned()));
+    table.apply(2, Record::Cancelled("job".to_owned()));
     let late = table.apply(3, completed(0, piece(7, 0, 0, 1)));
-    let again = table.apply(4, Record::Ended("job".to_owned()));
+    let again = table.apply(4, Record::Cancelled("job".to_owned()));
 
     assert_eq!(late, Change::Dropped);
     assert_eq!(again, Change::Dropped);
@@ -242,20 +243,20 @@
 }
 
 #[test]
-fn jobs_that_are_over_are_dropped_once_nobody_may_ask() {
+fn closed_jobs_are_pruned_after_the_retention_time() {
     let mut table = table();
-    let kept = Duration::from_secs(120);
-    let soon = SystemTime::UNIX_EPOCH + Duration::from_secs(119);
-    let later = SystemTime::UNIX_EPOCH + Duration::from_secs(121);
-
-    table.prune(kept, later);
-    let open = table.len();
-    table.apply(1, Record::Ended("job".to_owned()));
-    table.prune(kept, soon);
-    let readable = table.len();
-    table.prune(kept, later);
-
-    assert_eq!((open, readable, table.len()), (1, 1, 0));
+    let retention = Duration::from_secs(120);
+    let before_end = SystemTime::UNIX_EPOCH + Duration::from_secs(119);
+    let after_end = SystemTime::UNIX_EPOCH + Duration::from_secs(121);
+
+    table.prune(retention, after_end);
+    let while_open = table.len();
+    table.apply(1, Record::Cancelled("job".to_owned()));
+    table.prune(retention, before_end);
+    let before_retention_end = table.len();
+    table.prune(retention, after_end);
+
+    assert_eq!((while_open, before_retention_end, table.len()), (1, 1, 0));
 }
 
 fn record() -> impl Strategy<Value = Record> {
@@ -269,32 +270,31 @@
     ];
     prop_oneof![
         1 => Just(submission("job", None)),
-        8 => (0..3u32, piece).prop_map(|(index, piece)| advanced(index, piece)),
+        8 => (0..3u32, piece).prop_map(|(index, piece)| checkpointed(index, piece)),
         6 => (0..3u32, outcome).prop_map(|(index, outcome)| finished(0, index, outcome)),
-        1 => Just(Record::Ended("job".to_owned())),
+        1 => Just(Record::Cancelled("job".to_owned())),
     ]
 }
 
 proptest! {
     #![proptest_config(property::config(1500))]
 
-    /// Against a version that keeps every event with the run it came from and judges each text as a whole: the same
-    /// results at the same positions, positions never change, and no text joins runs that did not go on from each other.
+    /// The model validates each text as a whole, so it also checks that no text joins runs that don't continue each other.
     #[test]
-    fn any_records_in_any_order_give_the_results_of_the_naive_version(
+    fn any_sequence_of_records_gives_the_results_of_the_model_at_fixed_positions(
         records in prop::collection::vec(record(), 1..60),
     ) {
         let mut table = table();
-        let mut naive = Naive::new(3);
+        let mut model = Model::new(3);
         let mut before = Vec::new();
 
         for (offset, record) in (1..).zip(records) {
-            naive.apply(&record);
+            model.apply(&record);
             table.apply(offset, record);
 
             let now = texts(&table);
             prop_assert_eq!(&now[..before.len()], &before[..]);
-            prop_assert_eq!(&now, &naive.texts());
+            prop_assert_eq!(&now, &model.texts());
             before = now;
         }
     }
--- a/crates/tinbank-jobs/tests/schedule.rs
+++ b/crates/tinbank-jobs/tests/schedule.rs
@@ -1,24 +1,23 @@
-//! Which item runs next, and when one is given up.
+//! Decisions on items, and their order.
 
 use std::time::{Duration, Instant, SystemTime};
 
 use proptest::prelude::*;
 use tinbank_jobs::{
     Table,
-    pace::Pace,
+    estimate::Estimator,
     record::{Attachment, Item, Reason, Record, Stored, Submission},
-    schedule::{Due, Now, Route, State, Step, step},
+    schedule::{Decision, Due, Now, RouteState, State, decide},
 };
 use tinbank_test_support::property;
 use yare::parameterized;
 
-/// When results are due after their job came.
+/// Time from submission until results are due.
 const TARGET: Duration = Duration::from_secs(18);
-/// When items may be given up.
+/// Time from submission until items expire.
 const RETENTION: Duration = Duration::from_secs(60);
-/// Events of an item, and the time of each.
-const EVENTS: u64 = 200;
-const EVENT: Duration = Duration::from_millis(25);
+const EVENTS_PER_ITEM: u64 = 200;
+const TIME_PER_EVENT: Duration = Duration::from_millis(25);
 
 fn table(now: Now) -> Table {
     let item = Item {
@@ -44,19 +43,19 @@
     table
 }
 
-fn pace() -> Pace {
-    let mut pace = Pace::default();
-    pace.note(EVENTS, EVENT * EVENTS as u32);
-    pace.completed(EVENTS);
-    pace
+fn estimator() -> Estimator {
+    let mut estimator = Estimator::default();
+    estimator.record_run(EVENTS_PER_ITEM, TIME_PER_EVENT * EVENTS_PER_ITEM as u32);
+    estimator.record_completed(EVENTS_PER_ITEM);
+    estimator
 }
 
 fn idle() -> State {
     State {
         is_running: false,
         paused_until: None,
-        last: 0,
-        route: Route::Known,
+        last_event: 0,
+        route: RouteState::Present,
     }
 }
 
@@ -68,66 +67,72 @@
     }
 }
 
-/// What becomes of the item so many seconds after its job came.
-fn step_after(seconds: u64, state: impl Fn(Instant) -> State) -> (Step, SystemTime) {
+/// Returns the decision on an item `seconds` after its submission, and when it is due.
+fn decide_after(seconds: u64, state: impl Fn(Instant) -> State) -> (Decision, SystemTime) {
     let start = Now::read();
     let table = table(start);
     let job = table.job("job").expect("the job");
     let now = later(start, seconds);
-    (step(job, state(now.steady), &pace(), now), job.due_at)
+    (
+        decide(job, state(now.steady), &estimator(), now),
+        job.due_at,
+    )
 }
 
 #[parameterized(
     new = { 0, 0, false },
-    begun_late = { 14, 0, true },
-    nearly_done = { 14, 100, false },
-    past_its_due_time = { 19, 190, true },
+    not_started_shortly_before_due = { 14, 0, true },
+    half_done_shortly_before_due = { 14, 100, false },
+    past_due = { 19, 190, true },
 )]
-fn an_item_is_late_if_its_rest_takes_longer_than_there_is_time(
+fn an_item_is_late_if_its_remaining_run_time_exceeds_the_time_until_due(
     seconds: u64,
-    last: u64,
+    last_event: u64,
     is_late: bool,
 ) {
-    let (step, at) = step_after(seconds, |_| State { last, ..idle() });
+    let (decision, at) = decide_after(seconds, |_| State {
+        last_event,
+        ..idle()
+    });
 
-    assert_eq!(step, Step::Run(Due { is_late, at }));
+    assert_eq!(decision, Decision::Run(Due { is_late, at }));
 }
 
 #[parameterized(
-    it_runs = { 0, |_| State { is_running: true, ..idle() }, Step::Wait },
-    it_rests = { 0, |now| State { paused_until: Some(now + EVENT), ..idle() }, Step::Wait },
-    its_route_has_just_gone = { 0, |now| State { route: Route::GoneSince(now), ..idle() }, Step::Wait },
-    its_route_is_gone = { 0, |now: Instant| State { route: Route::GoneSince(now - Duration::from_secs(5)), ..idle() }, Step::GiveUp(Reason::RouteRemoved) },
-    the_configuration_may_be_old = { 0, |_| State { route: Route::Unsure, ..idle() }, Step::Wait },
-    clocks_may_differ = { 62, |_| State { route: Route::Unsure, ..idle() }, Step::Wait },
-    it_waited_for_too_long = { 66, |_| idle(), Step::GiveUp(Reason::Expired) },
-    its_result_is_on_the_way = { 66, |_| State { is_running: true, ..idle() }, Step::Wait },
+    running = { 0, |_| State { is_running: true, ..idle() }, Decision::Wait },
+    paused = { 0, |now| State { paused_until: Some(now + TIME_PER_EVENT), ..idle() }, Decision::Wait },
+    route_removed_recently = { 0, |now| State { route: RouteState::MissingSince(now), ..idle() }, Decision::Wait },
+    route_removed = { 0, |now: Instant| State { route: RouteState::MissingSince(now - Duration::from_secs(5)), ..idle() }, Decision::Abandon(Reason::RouteRemoved) },
+    configuration_possibly_stale = { 0, |_| State { route: RouteState::Unknown, ..idle() }, Decision::Wait },
+    expired_within_clock_margin = { 62, |_| State { route: RouteState::Unknown, ..idle() }, Decision::Wait },
+    expired = { 66, |_| idle(), Decision::Abandon(Reason::Expired) },
+    expired_but_result_being_written = { 66, |_| State { is_running: true, ..idle() }, Decision::Wait },
 )]
-fn an_item_waits_or_is_given_up(seconds: u64, state: fn(Instant) -> State, expected: Step) {
-    let (step, _) = step_after(seconds, state);
+fn an_item_waits_or_is_abandoned(seconds: u64, state: fn(Instant) -> State, expected: Decision) {
+    let (decision, _) = decide_after(seconds, state);
 
-    assert_eq!(step, expected);
+    assert_eq!(decision, expected);
 }
 
 #[derive(Clone, Copy)]
 struct Work {
     due: Duration,
-    left: Duration,
+    remaining: Duration,
 }
 
-/// Runs items one after the other, the least first by `order`, and counts those done when they are due.
-fn in_time(work: &[Work], order: impl Fn(&Work, Duration) -> Due) -> usize {
-    let mut left = work.to_vec();
+/// Runs items one after the other in ascending `order`, and returns how many finish by their due time.
+fn finished_in_time(work: &[Work], order: impl Fn(&Work, Duration) -> Due) -> usize {
+    let mut pending = work.to_vec();
     let mut now = Duration::ZERO;
     let mut in_time = 0;
-    while !left.is_empty() {
-        let (index, _) = left
+    while !pending.is_empty() {
+        let (index, _) = pending
             .iter()
             .enumerate()
             .min_by_key(|(_, work)| order(work, now))
             .expect("an item");
-        let work = left.swap_remove(index);
-        now += work.left;
+        let work = pending.swap_remove(index);
+        now += work.remaining;
         in_time += usize::from(now <= work.due);
     }
     in_time
@@ -135,44 +140,45 @@
 
 fn due(work: &Work, now: Duration) -> Due {
     Due {
-        is_late: now + work.left > work.due,
+        is_late: now + work.remaining > work.due,
         at: SystemTime::UNIX_EPOCH + work.due,
     }
 }
 
 #[test]
-fn with_too_much_work_late_items_make_no_others_late() {
+fn under_overload_late_items_do_not_delay_items_that_can_be_in_time() {
     let work: Vec<_> = (1..=60)
         .map(|index| Work {
             due: Duration::from_secs(index),
-            left: Duration::from_millis(2_500),
+            remaining: Duration::from_millis(2_500),
         })
         .collect();
 
-    let with_late_last = in_time(&work, due);
-    let by_due_time_alone = in_time(&work, |work, now| Due {
+    let with_late_last = finished_in_time(&work, due);
+    let in_due_order = finished_in_time(&work, |work, now| Due {
         is_late: false,
         ..due(work, now)
     });
 
     assert!(with_late_last >= 20, "{with_late_last}");
-    assert!(by_due_time_alone <= 2, "{by_due_time_alone}");
+    assert!(in_due_order <= 2, "{in_due_order}");
 }
 
 proptest! {
     #![proptest_config(property::config(300))]
 
-    /// As many are in time as by due time alone, or more.
     #[test]
-    fn late_items_last_is_never_worse(work in prop::collection::vec((1u64..60, 1u64..8), 1..40)) {
+    fn running_late_items_last_is_never_worse_than_due_order(
+        work in prop::collection::vec((1u64..60, 1u64..8), 1..40),
+    ) {
         let work: Vec<_> = work
             .into_iter()
-            .map(|(due, left)| Work { due: Duration::from_secs(due), left: Duration::from_secs(left) })
+            .map(|(due, remaining)| Work { due: Duration::from_secs(due), remaining: Duration::from_secs(remaining) })
             .collect();
 
-        let with_late_last = in_time(&work, due);
-        let by_due_time_alone = in_time(&work, |work, now| Due { is_late: false, ..due(work, now) });
+        let with_late_last = finished_in_time(&work, due);
+        let in_due_order = finished_in_time(&work, |work, now| Due { is_late: false, ..due(work, now) });
 
-        prop_assert!(with_late_last >= by_due_time_alone);
+        prop_assert!(with_late_last >= in_due_order);
     }
 }
--- a/crates/tinbank-jobs/tests/scope.rs
+++ b/crates/tinbank-jobs/tests/scope.rs
@@ -1,11 +1,11 @@
-//! Names under which jobs are kept, and whose tokens wait.
+//! Internal job names, and quotas of customers.
 
 use std::time::{Duration, SystemTime};
 
 use proptest::prelude::*;
 use tinbank_jobs::{
     Table,
-    fold::{Change, Verdict},
+    change::{Change, Verdict},
     record::{Attachment, Item, Record, Stored, Submission},
     scope::job_id,
 };
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_job_of_nobody_keeps_its_name() {
+fn a_job_without_a_customer_keeps_its_name() {
     assert_eq!(job_id(None, "7c41e09b52d6a3f8"), "7c41e09b52d6a3f8");
 }
 
@@ -42,7 +42,7 @@
     #![proptest_config(property::config(256))]
 
     #[test]
-    fn jobs_of_different_callers_never_meet(
+    fn internal_names_are_equal_only_for_the_same_customer_and_job(
         one in (proptest::option::of("[a/%]{1,3}"), "[a/%]{0,3}"),
         other in (proptest::option::of("[a/%]{1,3}"), "[a/%]{0,3}"),
     ) {
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn customers_of_a_route_do_not_share_what_may_wait() {
+fn each_customer_of_a_route_has_its_own_quota() {
     let mut table = Table::default();
     let submissions = [
         record(Some("one"), "a"),
@@ -82,8 +82,7 @@
 }
 
 #[test]
-fn a_record_from_before_there_were_customers_is_read() {
-    // The bytes of a submission as it was written then.
+fn a_submission_encoded_before_customers_were_added_is_decoded() {
     let bytes = [
         &[2, 0, 1][..],
         b"j",
