--- a/crates/tinbank-gateway/src/batch/contents.rs
+++ b/crates/tinbank-gateway/src/batch/contents.rs
@@ -1,4 +1,4 @@
-//! The contents of the items that this process runs.
+//! Contents of the items that this process runs.
 
 use std::{
     cell::RefCell,
@@ -16,46 +16,45 @@
 use super::{JOBS, large};
 use crate::{border::store, node::Node};
 
-/// Contents up to this size are part of the submission. All hosts read them then; source: at five jobs a second, which is
-/// the most that deployments took in, that is 80 KB a second a host.
+/// Contents up to this size are part of the submission, which every delegate reads.
 pub(super) const INLINE_BYTES: usize = 16 << 10;
-/// Pause before contents that could not be read are asked for again.
-const RETRY: Duration = Duration::from_millis(200);
+/// Delay before a failed read is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Contents that were read, and jobs whose contents are on their way.
+/// Contents of jobs that are loaded or being loaded.
 #[derive(Default)]
 pub(super) struct Contents {
-    known: RefCell<HashMap<JobId, Rc<record::Contents>>>,
-    asked: RefCell<HashSet<JobId>>,
+    loaded: RefCell<HashMap<JobId, Rc<record::Contents>>>,
+    loading: RefCell<HashSet<JobId>>,
 }
 
 impl Contents {
-    /// True if the contents of a job are here.
+    /// Returns whether the contents of a job are loaded.
     pub fn has(&self, job: &str) -> bool {
-        self.known.borrow().contains_key(job)
+        self.loaded.borrow().contains_key(job)
     }
 
-    /// The content of an item, if it is here.
+    /// Returns the content of an item if it is loaded.
     pub fn of_item(&self, job: &str, index: Index) -> Option<Content> {
-        let known = self.known.borrow();
-        known.get(job)?.0.get(index as usize).cloned()
+        let loaded = self.loaded.borrow();
+        loaded.get(job)?.0.get(index as usize).cloned()
     }
 
-    /// Keeps the contents of a job.
-    pub fn keep(&self, job: JobId, contents: record::Contents) {
-        self.known.borrow_mut().insert(job, Rc::new(contents));
+    /// Stores the contents of a job.
+    pub fn insert(&self, job: JobId, contents: record::Contents) {
+        self.loaded.borrow_mut().insert(job, Rc::new(contents));
     }
 
-    /// Drops the contents of jobs that are over, or that others run.
-    pub fn retain(&self, wanted: impl Fn(&JobId) -> bool) {
-        self.known.borrow_mut().retain(|job, _| wanted(job));
+    /// Drops the contents of all jobs for which `is_needed` returns false.
+    pub fn retain(&self, is_needed: impl Fn(&JobId) -> bool) {
+        self.loaded.borrow_mut().retain(|job, _| is_needed(job));
     }
 }
 
-/// Reads the contents of a job in the background, unless that is under way.
-pub(super) fn fetch(node: &Rc<Node>, job: &Job) {
+/// Loads the contents of a job in the background, unless that is in progress.
+pub(super) fn load(node: &Rc<Node>, job: &Job) {
     let contents = &node.batch.contents;
-    if !contents.asked.borrow_mut().insert(job.id.clone()) {
+    if !contents.loading.borrow_mut().insert(job.id.clone()) {
         return;
     }
     let node = Rc::clone(node);
@@ -63,31 +62,31 @@
     let source = job.contents;
     task::spawn_local(async move {
         match read(&node, source).await {
-            Ok(read) => node.batch.contents.keep(id.clone(), read),
+            Ok(read) => node.batch.contents.insert(id.clone(), read),
             Err(error) => {
                 log::warn!(job:% = id, source:?, error:%; "contents of a job not read");
-                time::sleep(RETRY).await;
+                time::sleep(RETRY_DELAY).await;
             }
         }
-        node.batch.contents.asked.borrow_mut().remove(&id);
+        node.batch.contents.loading.borrow_mut().remove(&id);
     });
 }
 
-/// Contents that can't be had now.
+/// A failure to read the contents of a job.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum Error {
-    /// The store did not give them.
+    /// The store returned an error.
     #[error(transparent)]
     Store(#[from] store::Error),
-    /// They can't be decoded.
+    /// The record can't be decoded.
     #[error(transparent)]
     Record(#[from] record::Error),
-    /// The record at their place is not a submission that has them.
-    #[error("the record is no submission with contents")]
+    /// The record is not a submission with inline contents.
+    #[error("the record is not a submission with inline contents")]
     OtherRecord,
 }
 
-/// The contents of a job.
+/// Reads the contents of a job from the store.
 pub(super) async fn read(node: &Node, source: Source) -> Result<record::Contents, Error> {
     match source {
         Source::Stored(stored) => {
@@ -95,14 +94,14 @@
             Ok(record::Contents::decode(&bytes)?)
         }
         Source::Submission(offset) => {
-            let bytes = large::read_whole(node, JOBS, offset, INLINE_BYTES).await?;
+            let bytes = large::read_record(node, JOBS, offset, INLINE_BYTES).await?;
             let record = Record::decode(&bytes)?;
             inline(&record).cloned().ok_or(Error::OtherRecord)
         }
     }
 }
 
-/// The contents that a record of jobs has itself.
+/// Returns the contents that a record carries inline.
 pub(super) fn inline(record: &Record) -> Option<&record::Contents> {
     match &record.submission()?.contents {
         Attachment::Inline(contents) => Some(contents),
--- a/crates/tinbank-gateway/src/batch/forward.rs
+++ b/crates/tinbank-gateway/src/batch/forward.rs
@@ -1,7 +1,7 @@
-//! Passes calls about jobs on to a host that follows their log and reaches the store, where this one does not.
+//! Forwards calls about jobs to a host that follows the job log and reaches the store, if this one does not.
 //!
-//! Only delegates follow it. A delegate that is cut off from the store passes calls on as well: otherwise each would cost its
-//! caller a refusal and another try, at a host that may be cut off too.
+//! Only delegates follow the log. A delegate that can't reach the store forwards calls as well, so that callers don't have to
+//! retry at another host, which may not reach the store either.
 
 use std::time::{Duration, Instant};
 
@@ -16,30 +16,28 @@
     node::Node,
 };
 
-/// Marks a call that was passed on, which is not passed on again.
+/// Marks a forwarded call, which is not forwarded again.
 const FORWARDED: HeaderName = HeaderName::from_static("x-tinbank-forwarded");
-/// How long a connection to the other host may take.
+/// Limit on the time to connect to the other host.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(60);
-/// How long the other host may take for its answer, beyond what the call says. Source: what a submission waits for its
-/// verdict.
+/// Limit on the time to the answer, beyond the wait that the call allows. Above the timeout of a submission.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_600);
 
-/// Most hosts that a call is passed on to. Source: a caller waits for a second and a half beyond what it allows, and each
-/// further host adds the time of a refusal.
-const MOST_HOSTS: usize = 3;
+/// Limit on the hosts that are tried, so that the caller gets an answer in time.
+const MAX_HOSTS: usize = 3;
 
-/// What came of passing a call on.
+/// The outcome of forwarding a call.
 pub(crate) enum Forwarded {
-    /// The other host's answer.
+    /// Another host answered.
     Answered(Response<Body>),
-    /// No other host has the call.
+    /// No other host received the call.
     NotSent,
-    /// Another host may have the call, and gave no answer.
+    /// Another host may have received the call, but did not answer.
     Unknown,
 }
 
-/// Passes a call about a job on to a host that reaches the store, unless it was passed on before. A host that refuses it,
-/// or can't be reached, leaves it to the next.
+/// Forwards a call about a job to a host that reaches the store, unless it was already forwarded. If a host refuses the call
+/// or can't be reached, the next one is tried.
 pub(crate) async fn forward(
     node: &Node,
     job: &str,
@@ -52,13 +50,13 @@
     }
     let hosts = node.sharing.hosts_with_store(job, Instant::now());
     let mut refused = Forwarded::NotSent;
-    for host in hosts.into_iter().take(MOST_HOSTS) {
+    for host in hosts.into_iter().take(MAX_HOSTS) {
         let now = Instant::now();
         let until = Until {
             connected: now + CONNECT_TIMEOUT,
             answered: now + ANSWER_TIMEOUT + wait,
         };
-        let request = request(node, head, body.clone());
+        let request = forwarded_request(node, head, body.clone());
         match exchange(node, host, request, until).await {
             Ok(answer) => {
                 let status = answer.status();
@@ -80,7 +78,7 @@
     refused
 }
 
-fn request(node: &Node, head: &Parts, body: Bytes) -> Request<Full<Bytes>> {
+fn forwarded_request(node: &Node, head: &Parts, body: Bytes) -> Request<Full<Bytes>> {
     let mut request = node.engine.passed_on(head, body);
     let mark = HeaderValue::from_static("1");
     request.headers_mut().insert(FORWARDED, mark);
--- a/crates/tinbank-gateway/src/batch/item.rs
+++ b/crates/tinbank-gateway/src/batch/item.rs
@@ -23,49 +23,46 @@
     sharing::Lease,
 };
 
-/// How long an upstream may work on an item in one run; what is left of it goes on in another one.
-/// Source: above what items take at full upstreams, so that only one that hangs while it sends is cut.
-const RUN_TIME: Duration = Duration::from_secs(30);
-/// How long the answer to an item may take to begin.
-const FIRST_EVENT: Duration = Duration::from_secs(2);
-/// Longest pause between events of an item.
-const SILENCE: Duration = Duration::from_millis(1_000);
+/// Limit on the time of one run, after which the item is resumed in another run. Above what an item takes at a busy upstream.
+const RUN_TIMEOUT: Duration = Duration::from_secs(30);
+/// Limit on the time until the first event.
+const FIRST_EVENT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Limit on the time between two events.
+const EVENT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// What a run has so far.
+/// The events that a run has received.
 #[derive(Debug)]
-pub(super) struct Progress {
-    /// The run.
+pub(super) struct Received {
     run: RunId,
-    /// Event behind which the run was asked to go on; 0 for a run from the start.
+    /// Event after which the run was asked to resume; 0 for a run from the start.
     started_after: event::Id,
-    /// Last event had.
-    pub last: event::Id,
-    /// Last event that is on its way to the log.
+    pub last_event: event::Id,
+    /// Last event that was passed to the writer.
     written: event::Id,
-    /// Data of the events behind it, each with a line feed behind it.
+    /// Data of the events after `written`, each followed by a line feed.
     data: String,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Ended {
-    /// The item has all its events.
+    /// All events of the item were received.
     Completed,
-    /// It can never be done.
+    /// The upstream reported that the item can never succeed.
     Impossible,
-    /// The upstream ran it and failed.
+    /// The upstream reported a failure.
     Failed,
-    /// The upstream did not run it, or broke off.
+    /// The upstream did not run the item, or its answer broke off.
     Broken,
-    /// The allocator took the slot back.
+    /// The allocator reclaimed the slot.
     Reclaimed,
-    /// The job is ended, or another host was first.
+    /// This host stopped the run.
     Stopped,
 }
 
 impl Ended {
-    /// The name for metrics.
-    pub fn name(self) -> &'static str {
+    /// Returns the label for metrics.
+    pub fn label(self) -> &'static str {
         match self {
             Self::Completed => "completed",
             Self::Impossible => "impossible",
@@ -77,42 +74,42 @@
     }
 }
 
-impl Progress {
-    /// A run that goes on behind an event.
+impl Received {
+    /// Creates the state of a run that resumes after an event.
     pub fn new(run: RunId, started_after: event::Id) -> Self {
         Self {
             run,
             started_after,
-            last: started_after,
+            last_event: started_after,
             written: started_after,
             data: String::new(),
         }
     }
 
-    /// True if there are events that are not on their way to the log.
-    pub fn has_news(&self) -> bool {
-        self.last > self.written
+    /// Returns whether there are events that were not passed to the writer.
+    pub fn has_unwritten(&self) -> bool {
+        self.last_event > self.written
     }
 
-    /// The events that are not on their way to the log yet, and their data. Where that stands is not known yet.
-    pub fn piece(&mut self) -> (Piece, Bytes) {
+    /// Returns the events that were not passed to the writer, and their data. The writer sets the location of the text.
+    pub fn take_piece(&mut self) -> (Piece, Bytes) {
         let piece = Piece {
             run: self.run,
             started_after: self.started_after,
             after: self.written,
-            last: self.last,
+            last: self.last_event,
             text: Stored::default(),
         };
-        self.written = self.last;
+        self.written = self.last_event;
         (piece, Bytes::from(std::mem::take(&mut self.data)))
     }
 
-    /// Takes in an event. False if it is not the next one.
-    fn take(&mut self, event: &Event) -> bool {
-        if event.id != Some(self.last + 1) {
+    /// Adds an event, and returns false if it is not the next one.
+    fn push(&mut self, event: &Event) -> bool {
+        if event.id != Some(self.last_event + 1) {
             return false;
         }
-        self.last += 1;
+        self.last_event += 1;
         if let Some(data) = event.data() {
             self.data.push_str(&data);
             self.data.push('\n');
@@ -121,23 +118,23 @@
     }
 }
 
-/// Runs an item from where it stopped.
+/// Runs an item from its last received event on.
 pub(super) async fn run(
     node: &Rc<Node>,
     lease: Lease,
     request: &Rc<Request>,
-    progress: &RefCell<Progress>,
+    received: &RefCell<Received>,
 ) -> Ended {
     let now = Instant::now();
-    let last = progress.borrow().last;
-    let resume_after = (last > 0).then_some(last);
+    let last_event = received.borrow().last_event;
+    let resume_after = (last_event > 0).then_some(last_event);
     let sent = attempt::send(
         node,
         lease,
         request,
         resume_after,
-        now + RUN_TIME,
-        now + FIRST_EVENT,
+        now + RUN_TIMEOUT,
+        now + FIRST_EVENT_TIMEOUT,
     );
     let Ok(opened) = sent.await else {
         return Ended::Broken;
@@ -160,17 +157,17 @@
         ..
     } = opened;
     let (ended, outcome) = tokio::select! {
-        read = read(body, progress) => read,
+        read = read(body, received) => read,
         () = lease.reclaimed() => (Ended::Reclaimed, Outcome::Unused),
     };
     lease.end(outcome);
     ended
 }
 
-async fn read(mut body: Answer, progress: &RefCell<Progress>) -> (Ended, Outcome) {
+async fn read(mut body: Answer, received: &RefCell<Received>) -> (Ended, Outcome) {
     let mut splitter = Splitter::default();
     loop {
-        let frame = match time::timeout(SILENCE, body.frame()).await {
+        let frame = match time::timeout(EVENT_TIMEOUT, body.frame()).await {
             Err(_) => return (Ended::Broken, Outcome::Silent),
             Ok(None) if splitter.is_partial() => {
                 body.cut();
@@ -190,10 +187,10 @@
             return (Ended::Broken, Outcome::Failed);
         }
         while let Some(event) = splitter.next_event() {
-            if !progress.borrow_mut().take(&event) {
+            if !received.borrow_mut().push(&event) {
                 return (Ended::Broken, Outcome::Failed);
             }
-            body.reached(progress.borrow().last);
+            body.reached(received.borrow().last_event);
         }
     }
 }
--- a/crates/tinbank-gateway/src/batch/large.rs
+++ b/crates/tinbank-gateway/src/batch/large.rs
@@ -1,4 +1,4 @@
-//! Large records, which are written once and read only by hosts that need them.
+//! Large records, which only the hosts that need them read.
 
 use std::{
     cell::{Cell, RefCell},
@@ -17,27 +17,26 @@
     node::Node,
 };
 
-/// How long one read may take.
+/// Timeout of a read.
 const READ_TIMEOUT: Duration = Duration::from_millis(800);
-/// Bytes that a record takes beside its content, in the store's form and in ours.
-const RECORD_BYTES: usize = 8;
-/// Most bytes of texts that are kept for the next caller. Source: what finishes within the two seconds in which most
-/// results are read, against hosts of 88 MB.
+/// Bytes of framing per stored record, by the store and by fragments.
+const RECORD_OVERHEAD: usize = 8;
+/// Size limit of the cache.
 const CACHE_BYTES: usize = 256 << 10;
 
-/// What was read or written last.
+/// Cache of the records that were read or written last, with first-in-first-out eviction.
 #[derive(Default)]
-pub(super) struct Large {
-    cache: RefCell<HashMap<Stored, Bytes>>,
+pub(super) struct Cache {
+    records: RefCell<HashMap<Stored, Bytes>>,
     order: RefCell<VecDeque<Stored>>,
     bytes: Cell<usize>,
 }
 
-impl Large {
-    /// Keeps something for the next reader; what was kept first goes.
-    pub fn keep(&self, stored: Stored, bytes: Bytes) {
+impl Cache {
+    /// Adds a record, and evicts the oldest ones beyond the size limit.
+    pub fn insert(&self, stored: Stored, bytes: Bytes) {
         let size = bytes.len();
-        if self.cache.borrow_mut().insert(stored, bytes).is_some() {
+        if self.records.borrow_mut().insert(stored, bytes).is_some() {
             return;
         }
         self.order.borrow_mut().push_back(stored);
@@ -46,18 +45,18 @@
             let Some(first) = self.order.borrow_mut().pop_front() else {
                 return;
             };
-            let dropped = self.cache.borrow_mut().remove(&first);
-            let size = dropped.map_or(0, |bytes| bytes.len());
+            let evicted = self.records.borrow_mut().remove(&first);
+            let size = evicted.map_or(0, |bytes| bytes.len());
             self.bytes.set(self.bytes.get() - size);
         }
     }
 
-    fn kept(&self, stored: &Stored) -> Option<Bytes> {
-        self.cache.borrow().get(stored).cloned()
+    fn get(&self, stored: &Stored) -> Option<Bytes> {
+        self.records.borrow().get(stored).cloned()
     }
 }
 
-/// The partition that this host writes to. Any would do; one for each host keeps appends few.
+/// Returns the partition that this host writes to. Each host uses a single one, so that records can share an append.
 pub(super) fn own_place(node: &Node) -> Place {
     Place {
         topic: Topic::Contents,
@@ -65,7 +64,7 @@
     }
 }
 
-/// Appends several large records at once. Where each of them stands.
+/// Writes large records with one append, and returns their locations.
 pub(super) async fn write(
     node: &Node,
     all: &[Bytes],
@@ -75,41 +74,41 @@
     let limit = node.settings.store.record_bytes;
     let split = all.iter().map(|bytes| fragment::split(bytes, limit));
     let split: Vec<Vec<Bytes>> = split.collect();
-    let pieces: Vec<Bytes> = split.iter().flatten().cloned().collect();
-    let mut offset = node.store.append(place, &pieces, until).await?;
-    let stored = split.iter().zip(all).map(|(pieces, bytes)| {
+    let fragments: Vec<Bytes> = split.iter().flatten().cloned().collect();
+    let mut offset = node.store.append(place, &fragments, until).await?;
+    let stored = split.iter().zip(all).map(|(fragments, bytes)| {
         let stored = Stored {
             partition: place.partition,
             offset,
-            records: pieces.len() as u32,
+            records: fragments.len() as u32,
             bytes: bytes.len() as u32,
         };
-        offset += pieces.len() as u64;
+        offset += fragments.len() as u64;
         stored
     });
     Ok(stored.collect())
 }
 
-/// Reads a large record.
+/// Reads a large record, from the cache if it is there.
 pub(super) async fn read(node: &Node, stored: Stored) -> Result<Bytes, Error> {
     if stored.bytes == 0 {
         return Ok(Bytes::new());
     }
-    if let Some(bytes) = node.batch.large.kept(&stored) {
+    if let Some(bytes) = node.batch.large_records.get(&stored) {
         return Ok(bytes);
     }
     let place = Place {
         topic: Topic::Contents,
         partition: stored.partition,
     };
-    let expected = stored.bytes as usize + stored.records as usize * RECORD_BYTES;
-    let bytes = read_whole(node, place, stored.offset, expected).await?;
-    node.batch.large.keep(stored, bytes.clone());
+    let expected = stored.bytes as usize + stored.records as usize * RECORD_OVERHEAD;
+    let bytes = read_record(node, place, stored.offset, expected).await?;
+    node.batch.large_records.insert(stored, bytes.clone());
     Ok(bytes)
 }
 
-/// Reads the record that begins at an offset, of about `expected` bytes.
-pub(super) async fn read_whole(
+/// Reads the record that begins at an offset and has about `expected` bytes with its framing.
+pub(super) async fn read_record(
     node: &Node,
     place: Place,
     offset: Offset,
@@ -126,12 +125,12 @@
         };
         let page = node.store.read(place, range, until).await?;
         if page.records.is_empty() {
-            let why = "a record that was written is not there";
+            let why = "log ends before the end of a record";
             return Err(Error::Protocol(why.to_owned()));
         }
-        for piece in &page.records {
-            if let Some(joined) = joiner.push(next, piece) {
-                // The page is larger than the record; what is kept must not hold all of it.
+        for fragment in &page.records {
+            if let Some(joined) = joiner.push(next, fragment) {
+                // Copied so that a cached record does not keep the whole page alive.
                 return Ok(Bytes::copy_from_slice(&joined.bytes));
             }
             next += 1;
--- a/crates/tinbank-gateway/src/batch/mod.rs
+++ b/crates/tinbank-gateway/src/batch/mod.rs
@@ -1,11 +1,11 @@
-//! Batch jobs: taken in, run, and read, all by way of the log.
+//! Batch jobs: accepting and running them, and reading their results, all based on the job log.
 
 mod contents;
 mod follower;
 pub(crate) mod forward;
 mod item;
 mod large;
-mod owner;
+mod ownership;
 pub(crate) mod results;
 mod runner;
 pub(crate) mod submission;
@@ -25,130 +25,131 @@
     node::Node,
 };
 
-/// Where the records of jobs are.
+/// Where the job log is stored.
 const JOBS: Place = Place {
     topic: Topic::Jobs,
     partition: 0,
 };
 
-/// The process's part in batch jobs.
+/// Batch state of the process.
 pub(crate) struct Batch {
     table: RefCell<Table>,
-    /// Offset behind the last record taken in.
-    next: Cell<Offset>,
-    known: Cell<bool>,
+    /// Offset after the last applied record.
+    next_offset: Cell<Offset>,
+    caught_up: Cell<bool>,
+    /// Notified when records were applied.
     changed: Notify,
-    /// The table is to hold all records before this offset soon: somebody waits for them.
-    wanted: Cell<Offset>,
-    /// Told when `wanted` rises.
-    hurry: Notify,
+    /// A caller is waiting until all records before this offset are applied.
+    awaited_end: Cell<Offset>,
+    /// Notified when `awaited_end` rises.
+    awaited: Notify,
     verdicts: RefCell<HashMap<u64, oneshot::Sender<Verdict>>>,
-    owner: owner::Owner,
+    ownership: ownership::Ownership,
     runner: runner::Runner,
     writer: writer::Writer,
     contents: contents::Contents,
-    large: large::Large,
+    large_records: large::Cache,
 }
 
 impl Batch {
     pub fn new() -> Self {
         Self {
             table: RefCell::default(),
-            next: Cell::new(0),
-            known: Cell::new(false),
+            next_offset: Cell::new(0),
+            caught_up: Cell::new(false),
             changed: Notify::new(),
-            wanted: Cell::new(0),
-            hurry: Notify::new(),
+            awaited_end: Cell::new(0),
+            awaited: Notify::new(),
             verdicts: RefCell::default(),
-            owner: owner::Owner::default(),
+            ownership: ownership::Ownership::default(),
             runner: runner::Runner::default(),
             writer: writer::Writer::default(),
             contents: contents::Contents::default(),
-            large: large::Large::default(),
+            large_records: large::Cache::default(),
         }
     }
 
-    /// True once the log was read to its end.
+    /// Returns whether the log was read to its end since this host became a delegate.
     pub fn is_caught_up(&self) -> bool {
-        self.known.get()
+        self.caught_up.get()
     }
 
-    /// Forgets what it owns, after a pause of the process.
+    /// Treats the group membership as expired until the next join, after a pause of the process.
     pub fn invalidate_membership(&self) {
-        self.owner.distrust();
+        self.ownership.invalidate();
     }
 
-    /// Forgets the log of jobs, which another host follows from now on.
-    fn forget(&self) {
-        self.known.set(false);
-        self.next.set(0);
-        self.wanted.set(0);
+    /// Drops all job state when this host stops being a delegate.
+    fn reset(&self) {
+        self.caught_up.set(false);
+        self.next_offset.set(0);
+        self.awaited_end.set(0);
         self.table.take();
         self.contents.retain(|_| false);
-        self.runner.forget();
+        self.runner.reset();
     }
 
-    /// Somebody waits until the table holds all records before an offset.
-    fn want(&self, end: Offset) {
-        self.wanted.set(self.wanted.get().max(end));
-        self.hurry.notify_one();
+    /// Notes that a caller is waiting until all records before `end` are applied.
+    fn mark_awaited(&self, end: Offset) {
+        self.awaited_end.set(self.awaited_end.get().max(end));
+        self.awaited.notify_one();
     }
 
-    /// True if somebody waits for records that are in the log and not in the table yet.
+    /// Returns whether a caller is waiting for records that are in the log but not applied yet.
     fn is_behind(&self) -> bool {
-        self.next.get() < self.wanted.get()
+        self.next_offset.get() < self.awaited_end.get()
     }
 }
 
-/// Starts everything that runs for as long as the process does.
+/// Starts the background tasks.
 pub(crate) fn start(node: &Rc<Node>) {
-    tokio::task::spawn_local(duty(Rc::clone(node)));
-    tokio::task::spawn_local(writer::write(Rc::clone(node)));
+    tokio::task::spawn_local(run_while_delegate(Rc::clone(node)));
+    tokio::task::spawn_local(writer::run(Rc::clone(node)));
 }
 
-/// Follows the log of jobs and runs items while this host is a delegate. If all hosts did, reading and folding would grow as
-/// hosts times jobs: 295 hosts moved 1.1 GB to and from the store in a day of 500 jobs with a power loss, 20 delegates 0.1 GB.
-async fn duty(node: Rc<Node>) {
+/// Follows the job log and runs items while this host is a delegate. Only delegates do, since the cost of following the log
+/// grows with the number of hosts times the number of jobs.
+async fn run_while_delegate(node: Rc<Node>) {
     loop {
         node.feed.on_duty().await;
-        // The lists come first: all other hosts wait for them, and the log of jobs takes the store many times as long.
+        // Other hosts wait for the lists, and reading the job log takes much longer.
         node.view.known().await;
         log::info!("log of jobs followed, and jobs run here");
         tokio::select! {
             () = follower::follow(Rc::clone(&node)) => {}
-            // The log is followed to the end: it says which of the last records have arrived.
-            () = work(&node) => {}
+            // The log is followed until the runs are drained, since it shows which records have been written.
+            () = run_items(&node) => {}
         }
         log::info!("jobs left to other hosts");
         node.sharing.store_left();
-        node.batch.forget();
+        node.batch.reset();
     }
 }
 
-/// Runs items until this host is no delegate, and gives back what it owns.
-async fn work(node: &Rc<Node>) {
+/// Runs items until this host stops being a delegate, then releases its partitions.
+async fn run_items(node: &Rc<Node>) {
     tokio::select! {
-        () = owner::stay(Rc::clone(node)) => {}
+        () = ownership::maintain(Rc::clone(node)) => {}
         () = runner::run(Rc::clone(node)) => {}
         () = node.feed.off_duty() => {}
     }
     if node.stop.is_stopping() {
-        // Whoever stops the process gives everything back.
+        // The shutdown sequence calls `leave` itself.
         std::future::pending::<()>().await;
     }
     leave(node).await;
 }
 
-/// Gives back what the process owns, so that other hosts go on with it at once.
+/// Stops all runs and leaves the group, so that other hosts take over at once.
 pub(crate) async fn leave(node: &Rc<Node>) {
-    if !node.batch.owner.is_member() {
+    if !node.batch.ownership.is_member() {
         return;
     }
-    runner::drained(node).await;
-    owner::leave(node).await;
+    runner::drain(node).await;
+    ownership::leave(node).await;
 }
 
-/// The number that decides which partition a job belongs to.
+/// Returns the partition that a job belongs to.
 fn partition(job: &JobId, partitions: u32) -> u32 {
     use std::hash::{Hash, Hasher};
     let mut hasher = siphasher::sip::SipHasher13::new();
--- /dev/null
+++ b/crates/tinbank-gateway/src/batch/ownership.rs
@@ -0,0 +1,197 @@
+//! Ownership of job partitions: members of a group at the store divide the partitions, and run the jobs of their own.
+
+use std::{
+    cell::{Cell, RefCell},
+    rc::Rc,
+    time::{Duration, Instant},
+};
+
+use bytes::Bytes;
+use tinbank_jobs::{
+    partitions::{Partitions, Revoked},
+    record::JobId,
+};
+use tokio::time;
+
+use super::partition;
+use crate::{
+    border::store::{Membership, Place, Topic},
+    dependency::Dependency,
+    node::Node,
+};
+
+/// Time without a join call after which a member is removed, unless the store's minimum is longer.
+const MEMBER_TTL: Duration = Duration::from_secs(2);
+/// Join calls per TTL.
+const JOINS_PER_TTL: u32 = 4;
+/// Pause before the next join call when partitions were revoked, in which their last checkpoints are written.
+const CHECKPOINT_TIME: Duration = Duration::from_millis(150);
+/// Timeout of a call.
+const CALL_TIMEOUT: Duration = Duration::from_millis(800);
+
+/// Membership of the process in the group, and the partitions assigned to it.
+#[derive(Default)]
+pub(super) struct Ownership {
+    partitions: RefCell<Partitions>,
+    /// Generation of the group at the last join call.
+    generation: Cell<u64>,
+    renewed_at: Cell<Option<Instant>>,
+    is_member: Cell<bool>,
+}
+
+impl Ownership {
+    /// Returns whether the membership was renewed recently enough that no other process has taken over.
+    fn is_renewed(&self, ttl: Duration) -> bool {
+        let renewed = self.renewed_at.get();
+        renewed.is_some_and(|at| at.elapsed() < ttl + CALL_TIMEOUT)
+    }
+
+    /// Returns whether the process has begun to join the group and has not left it.
+    pub fn is_member(&self) -> bool {
+        self.is_member.get()
+    }
+
+    /// Treats the membership as expired until the next join call.
+    pub fn invalidate(&self) {
+        self.renewed_at.set(None);
+    }
+}
+
+/// Returns whether this process owns a job.
+pub(super) fn owns(node: &Node, job: &JobId) -> bool {
+    let partition = partition(job, node.settings.store.partitions);
+    let ownership = &node.batch.ownership;
+    ownership.is_renewed(ttl(node)) && ownership.partitions.borrow().owns(partition)
+}
+
+/// Returns whether this process may start items of a job now.
+pub(super) fn may_start(node: &Node, job: &JobId) -> bool {
+    let partition = partition(job, node.settings.store.partitions);
+    let ownership = &node.batch.ownership;
+    let now = Instant::now();
+    ownership.is_renewed(ttl(node)) && ownership.partitions.borrow().may_start(partition, now)
+}
+
+fn ttl(node: &Node) -> Duration {
+    MEMBER_TTL.max(node.settings.store.least_member_ttl)
+}
+
+/// Keeps the process in the group until it leaves.
+pub(super) async fn maintain(node: Rc<Node>) {
+    create_topic(&node).await;
+    let mut dependency = Dependency::new("group");
+    node.batch.ownership.is_member.set(true);
+    while node.batch.ownership.is_member() {
+        let mut pause = ttl(&node) / JOINS_PER_TTL;
+        match join(&node).await {
+            Ok(revoked) => {
+                dependency.reached();
+                if stop_revoked(&node, &revoked) {
+                    pause = CHECKPOINT_TIME;
+                }
+            }
+            Err(error) => {
+                dependency.failed(&error);
+                stop_if_expired(&node);
+            }
+        }
+        time::sleep(pause).await;
+    }
+}
+
+/// Stops the items of revoked partitions, and returns whether there are any such partitions. The store assigns them to
+/// another member only after this process has joined again, so the runs can be checkpointed before.
+fn stop_revoked(node: &Node, revoked: &Revoked) -> bool {
+    if revoked.is_empty() {
+        return false;
+    }
+    let partitions = node.settings.store.partitions;
+    let stopped = node
+        .batch
+        .runner
+        .stop_jobs(|job| revoked.contains(&partition(job, partitions)));
+    log::info!(partitions:? = revoked.as_slice(), items = stopped; "partitions lost, their items stop here");
+    true
+}
+
+/// Stops all items if the membership has expired and another host reaches the store, since another member then runs them.
+/// If no host reaches the store, no member has taken over and the items go on.
+fn stop_if_expired(node: &Node) {
+    let ownership = &node.batch.ownership;
+    let silent = ownership.renewed_at.get().map(|at| at.elapsed());
+    let Some(silent) = silent.filter(|silent| *silent >= ttl(node)) else {
+        return;
+    };
+    let Some(host) = node.sharing.host_with_store(Instant::now()) else {
+        return;
+    };
+    let silent_ms = silent.as_millis() as u64;
+    log::warn!(silent_ms, host:%; "store reached by another host but not by this one, all items stop here");
+    ownership.invalidate();
+    node.batch.runner.stop_all();
+}
+
+/// Leaves the group, so that its other members get the partitions at once.
+pub(super) async fn leave(node: &Node) {
+    node.batch.ownership.is_member.set(false);
+    node.batch.ownership.invalidate();
+    node.batch.ownership.partitions.take();
+    let membership = membership(node);
+    // A later join starts as a new member.
+    node.batch.ownership.generation.set(0);
+    let until = Instant::now() + CALL_TIMEOUT;
+    match node.store.leave(&membership, until).await {
+        Ok(()) => log::info!("group at the store left"),
+        Err(error) => {
+            log::warn!(error:%; "cannot leave the group at the store, the membership will expire")
+        }
+    }
+}
+
+/// Appends a first record, since the store creates a topic with its first record.
+async fn create_topic(node: &Node) {
+    let place = Place {
+        topic: Topic::Owners,
+        partition: 0,
+    };
+    loop {
+        let until = Instant::now() + CALL_TIMEOUT;
+        let record = Bytes::from_static(b"created");
+        match node.store.append(place, &[record], until).await {
+            Ok(_) => return,
+            Err(error) => log::info!(error:%; "topic of the group not created yet"),
+        }
+        node.retry.pause().await;
+    }
+}
+
+/// Joins the group or renews the membership, and returns the partitions that were revoked since the last call.
+async fn join(node: &Node) -> Result<Revoked, crate::border::store::Error> {
+    let membership = membership(node);
+    let called_at = Instant::now();
+    let until = called_at + CALL_TIMEOUT;
+    let assignment = node.store.join(&membership, until).await?;
+    let ownership = &node.batch.ownership;
+    ownership.renewed_at.set(Some(called_at));
+    ownership.generation.set(assignment.generation);
+    let mut partitions = ownership.partitions.borrow_mut();
+    let before: Vec<u32> = partitions.iter().collect();
+    let revoked = partitions.assign(&assignment.partitions, Instant::now());
+    if before != assignment.partitions {
+        log::info!(
+            generation = assignment.generation,
+            partitions:? = assignment.partitions;
+            "partitions of the group"
+        );
+    }
+    Ok(revoked)
+}
+
+fn membership(node: &Node) -> Membership {
+    Membership {
+        member: node.settings.host.clone(),
+        topic: Topic::Owners,
+        generation: node.batch.ownership.generation.get(),
+        ttl_ms: ttl(node).as_millis() as u64,
+    }
+}
--- a/crates/tinbank-gateway/src/batch/results.rs
+++ b/crates/tinbank-gateway/src/batch/results.rs
@@ -1,4 +1,4 @@
-//! Reads results and the bodies of waiting items.
+//! Serves results of jobs and bodies of pending items.
 
 use std::time::{Duration, Instant};
 
@@ -19,34 +19,34 @@
     node::Node,
 };
 
-/// Most bytes of results in a page. Source: the platform's bound of 1 MB, less the names around the texts.
+/// Limit on the bytes of a page. Below the platform's limit of 1 MB, to leave room for its structure.
 const PAGE_BYTES: usize = 800_000;
-/// Bytes that a result takes beside its text.
-const RESULT_BYTES: usize = 120;
-/// A page without news says that there is none if the table is at most this old. Source: the platform's bound of 1 s.
-const FRESH: Duration = Duration::from_millis(800);
-/// How long a page may take before it is given as far as it has come. Source: well below the 1.5 s that callers
-/// wait beyond what they allow.
-const FILL_TIME: Duration = Duration::from_millis(500);
-/// Texts that are read at the same time.
-const TEXTS_AT_ONCE: usize = 8;
-/// How long a host may take to read the log to its end before it says that it can't tell.
+/// Bytes of a result beside its text.
+const RESULT_OVERHEAD: usize = 120;
+/// Limit on the age of the table for an empty page. Below the platform's limit of 1 s.
+const MAX_STALENESS: Duration = Duration::from_millis(800);
+/// Time after which a page is returned with the texts read so far. Well below the 1.5 s that callers wait beyond the requested
+/// wait.
+const FILL_TIMEOUT: Duration = Duration::from_millis(500);
+/// Number of texts that are read concurrently.
+const CONCURRENT_READS: usize = 8;
+/// Limit on the time to catch up with the log before a call is answered as unsure.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Where the results of a page stand.
+/// A page whose texts are not read yet.
 struct Outline {
     total: u32,
     next: usize,
     results: Vec<(String, ItemResult)>,
 }
 
-/// Results of a job from a position on.
+/// Returns the results of a job from a position on, and waits up to `wait` for the first one.
 pub(crate) async fn page(node: &Node, job: &str, from: usize, wait: Duration) -> Reply {
     let until = Instant::now() + wait;
-    if listed(node, job).is_none_or(|listed| listed < from) {
+    if result_count(node, job).is_none_or(|count| count < from) {
         let caught_up = follower::catch_up(node, Instant::now() + CATCH_UP_TIMEOUT).await;
-        match listed(node, job) {
-            Some(listed) if listed >= from => {}
+        match result_count(node, job) {
+            Some(count) if count >= from => {}
             _ if !caught_up => return unsure(job, "log not read to its end"),
             None => return absent(node, job),
             Some(_) => return unsure(job, "position beyond the results known"),
@@ -63,10 +63,10 @@
             break;
         }
     }
-    if !node.sharing.has_read_store(FRESH, Instant::now())
+    if !node.sharing.has_read_store(MAX_STALENESS, Instant::now())
         && !follower::catch_up(node, Instant::now() + CATCH_UP_TIMEOUT).await
     {
-        return unsure(job, "log read too long ago");
+        return unsure(job, "log not read recently");
     }
     match outline(node, job, from) {
         Some(outline) => fill(node, job, outline).await,
@@ -74,10 +74,10 @@
     }
 }
 
-/// Reads the texts of a page. Those behind one that can't be read now, or not in time, are left for the next call: a caller
-/// that gives up a long page and asks for it again would never get it.
+/// Reads the texts of a page. The page ends early at a text that can't be read or when the time is up, so that callers that
+/// would time out waiting for the whole page make progress.
 async fn fill(node: &Node, job: &str, outline: Outline) -> Reply {
-    let until = Instant::now() + FILL_TIME;
+    let until = Instant::now() + FILL_TIMEOUT;
     let from = outline.next - outline.results.len();
     let filled = outline.results.iter().map(|(item, result)| async move {
         let result = match result {
@@ -86,7 +86,7 @@
         };
         (item, result)
     });
-    let mut filled = stream::iter(filled).buffered(TEXTS_AT_ONCE);
+    let mut filled = stream::iter(filled).buffered(CONCURRENT_READS);
     let mut results = Vec::with_capacity(outline.results.len());
     while let Some((item, result)) = filled.next().await {
         match result {
@@ -113,7 +113,7 @@
     })
 }
 
-/// A text from its pieces, without the line feed behind its last event.
+/// Reads the pieces of a text and joins them, without the line feed after the last event.
 async fn text(node: &Node, pieces: &[Stored]) -> Result<Bytes, Error> {
     let size = pieces.iter().map(|piece| piece.bytes as usize).sum();
     let mut text = BytesMut::with_capacity(size);
@@ -126,20 +126,20 @@
     Ok(text.freeze())
 }
 
-/// The body of an item that has no result yet.
+/// Returns the body of an item that may still run.
 pub(crate) async fn body(node: &Node, job: &str, item: &str) -> Reply {
-    let known = |node: &Node| {
+    let lookup = |node: &Node| {
         let table = node.batch.table.borrow();
         let job = table.job(job)?;
         Some((job.runnable_index(item), job.contents))
     };
-    if known(node).is_none() {
+    if lookup(node).is_none() {
         let until = Instant::now() + CATCH_UP_TIMEOUT;
         if !follower::catch_up(node, until).await {
             return unsure(job, "log not read to its end");
         }
     }
-    let (index, source) = match known(node) {
+    let (index, source) = match lookup(node) {
         Some((Some(index), source)) => (index, source),
         Some((None, _)) => return not_found(job),
         None => return absent(node, job),
@@ -165,12 +165,12 @@
     Reply::Unsure
 }
 
-/// What to say of a job that the table does not have: that there is none only while the table holds the log. A host that gave
-/// its duty up while a call waited has forgotten it.
+/// Returns the reply for a job that is not in the table. It is "not found" only while this host follows the log: if the host
+/// stopped being a delegate during the call, the table is empty.
 pub(super) fn absent(node: &Node, job: &str) -> Reply {
     match node.batch.is_caught_up() {
         true => not_found(job),
-        false => unsure(job, "log of jobs not followed any more"),
+        false => unsure(job, "log of jobs no longer followed"),
     }
 }
 
@@ -179,7 +179,7 @@
     Reply::NotFound
 }
 
-fn listed(node: &Node, job: &str) -> Option<usize> {
+fn result_count(node: &Node, job: &str) -> Option<usize> {
     node.batch.table.borrow().job(job).map(Job::result_count)
 }
 
@@ -189,7 +189,7 @@
     let mut bytes = 0;
     let mut results = Vec::new();
     for listed in job.results(from) {
-        bytes += RESULT_BYTES + text_bytes(listed.result);
+        bytes += RESULT_OVERHEAD + text_bytes(listed.result);
         if bytes > PAGE_BYTES && !results.is_empty() {
             break;
         }
--- a/crates/tinbank-gateway/src/batch/runner.rs
+++ b/crates/tinbank-gateway/src/batch/runner.rs
@@ -1,6 +1,6 @@
-//! Runs the items of the jobs that this process owns, while upstreams have slots to spare.
+//! Runs the items of the jobs that this process owns, as far as the allocator grants slots.
 
-mod next;
+mod selection;
 
 use std::{
     cell::{Cell, RefCell},
@@ -18,8 +18,8 @@
 };
 use tokio::{sync::Notify, task, time};
 
-use self::next::Candidate;
-use super::item::{self, Ended, Progress};
+use self::selection::Candidate;
+use super::item::{self, Ended, Received};
 use crate::{
     border::engine::{self, Request, Sender},
     identity, measure,
@@ -27,61 +27,62 @@
     sharing::{Asked, Lease, Wanted},
 };
 
-/// Pause when there is nothing to run, or no slot for it. Source: the time in which a slot is likely to come free.
-const PAUSE: Duration = Duration::from_millis(40);
-/// Pause before an item that failed runs again.
-const RETRY: Duration = Duration::from_millis(100);
-/// Pause before an item is run that another host has just got further with.
-const OTHER_RUN: Duration = Duration::from_secs(2);
-/// Pause before an item that is held back is looked at again. Source: each look takes a slot for a moment.
-const HELD_BACK: Duration = Duration::from_secs(5);
-/// How often a run writes how far it has got. Source: what a lost host costs at most, against one record more.
-const CHECKPOINT: Duration = Duration::from_millis(1_500);
-/// Time that is left for writing what runs have so far, before a stopping process is killed.
+/// Delay before the next attempt when there is no item to run or no slot for it.
+const IDLE_DELAY: Duration = Duration::from_millis(40);
+/// Delay before an item that failed runs again.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Delay before this host may run an item that another host is running.
+const OTHER_RUN_DELAY: Duration = Duration::from_secs(2);
+/// Delay before a quarantined item is checked again, since each check takes a slot for a moment.
+const QUARANTINE_RECHECK: Duration = Duration::from_secs(5);
+/// Interval of checkpoints; bounds the work that is lost with a host.
+const CHECKPOINT_INTERVAL: Duration = Duration::from_millis(1_500);
+/// Part of the grace period of a stopping process that is not used for draining.
 const STOP_MARGIN: Duration = Duration::from_millis(1_500);
-/// Numbers of runs that one process can give.
-const RUNS: u64 = 1 << 32;
+/// Number of run ids of a process.
+const RUNS_PER_PROCESS: u64 = 1 << 32;
 
-/// One item of one job.
+/// An item of a job.
 type Key = (JobId, Index);
 
-/// The items that this process runs.
+/// State of the items that this process runs.
 pub(super) struct Runner {
+    /// Items that are running, or whose result is being written.
     running: RefCell<HashMap<Key, Rc<Run>>>,
-    /// Items that ran here and may run again from some time on.
-    paused: RefCell<HashMap<Key, Paused>>,
-    /// Since when the route of a job is gone.
-    routes_gone: RefCell<HashMap<JobId, Instant>>,
-    pace: RefCell<Estimator>,
+    /// Items between two runs.
+    waiting: RefCell<HashMap<Key, Waiting>>,
+    /// Jobs whose route is missing, and since when.
+    missing_routes: RefCell<HashMap<JobId, Instant>>,
+    estimator: RefCell<Estimator>,
     first_run: RunId,
     next_run: Cell<RunId>,
 }
 
-/// An item that runs, or whose result is on its way to the log.
 struct Run {
     stop: Notify,
 }
 
-/// What is remembered of an item between its runs.
+/// State of an item between two runs.
 #[derive(Clone, Default)]
-struct Paused {
-    /// Last event that is in the log or on its way there.
-    last: u64,
+struct Waiting {
+    /// Last event that is in the log or being written.
+    last_event: u64,
+    /// The item must not run before this time.
     until: Option<Instant>,
-    /// Answers that say that the item failed, at this host and at those before it.
+    /// Number of failed runs, on any host.
     failures: u32,
-    /// Upstreams that gave them.
-    failed_at: Vec<id::Instance>,
+    /// Upstreams at which runs of this host failed.
+    failed_upstreams: Vec<id::Instance>,
 }
 
 impl Default for Runner {
     fn default() -> Self {
-        let first_run = identity::number() / RUNS * RUNS;
+        let first_run = identity::number() / RUNS_PER_PROCESS * RUNS_PER_PROCESS;
         Self {
             running: RefCell::default(),
-            paused: RefCell::default(),
-            routes_gone: RefCell::default(),
-            pace: RefCell::default(),
+            waiting: RefCell::default(),
+            missing_routes: RefCell::default(),
+            estimator: RefCell::default(),
             first_run,
             next_run: Cell::new(first_run + 1),
         }
@@ -89,10 +90,10 @@
 }
 
 impl Runner {
-    /// The log has the result of an item. True if it ran here.
-    pub fn finished(&self, job: &JobId, index: Index) -> bool {
+    /// Handles the result of an item in the log, and returns whether the item was running here.
+    pub fn on_finished(&self, job: &JobId, index: Index) -> bool {
         let key = (job.clone(), index);
-        self.paused.borrow_mut().remove(&key);
+        self.waiting.borrow_mut().remove(&key);
         let run = self.running.borrow_mut().remove(&key);
         if let Some(run) = &run {
             run.stop.notify_one();
@@ -100,74 +101,74 @@
         run.is_some()
     }
 
-    /// The log has a further piece of an item. If it is of a run of another process, that is ahead of one here.
-    pub fn advanced(&self, job: &JobId, index: Index, run: RunId) {
+    /// Handles a checkpoint of an item in the log. If another process wrote it, that one is ahead of a run here.
+    pub fn on_checkpointed(&self, job: &JobId, index: Index, run: RunId) {
         let runs_here = self.running.borrow().contains_key(&(job.clone(), index));
         if runs_here && !self.is_own(run) {
-            self.drop_run(job, index, OTHER_RUN);
+            self.drop_run(job, index, OTHER_RUN_DELAY);
         }
     }
 
-    /// The log has no use for a run.
-    pub fn refused(&self, job: &JobId, index: Index, run: RunId) {
+    /// Handles a conflict of a run with the text in the log.
+    pub fn on_conflict(&self, job: &JobId, index: Index, run: RunId) {
         if self.is_own(run) {
-            self.drop_run(job, index, RETRY);
+            self.drop_run(job, index, RETRY_DELAY);
         }
     }
 
-    /// A job is ended; its items stop at once.
-    pub fn ended(&self, job: &JobId) {
+    /// Stops all items of a cancelled job.
+    pub fn on_cancelled(&self, job: &JobId) {
         let running = self.running.borrow();
         for (_, run) in running.iter().filter(|(key, _)| key.0 == *job) {
             run.stop.notify_one();
         }
-        self.paused.borrow_mut().retain(|key, _| key.0 != *job);
-        self.routes_gone.borrow_mut().remove(job);
+        self.waiting.borrow_mut().retain(|key, _| key.0 != *job);
+        self.missing_routes.borrow_mut().remove(job);
     }
 
-    /// Forgets all items, which other hosts run from now on.
-    pub fn forget(&self) {
+    /// Stops all items and drops all state.
+    pub fn reset(&self) {
         self.stop_all();
         self.running.take();
-        self.paused.take();
-        self.routes_gone.take();
+        self.waiting.take();
+        self.missing_routes.take();
     }
 
-    /// Stops all items that run here.
+    /// Stops all items.
     pub fn stop_all(&self) {
-        self.stop(|_| true);
+        self.stop_jobs(|_| true);
     }
 
-    /// Stops the items of some jobs. How many there are.
-    pub fn stop(&self, is_of: impl Fn(&JobId) -> bool) -> usize {
+    /// Stops the items of the jobs that match, and returns their number.
+    pub fn stop_jobs(&self, matches: impl Fn(&JobId) -> bool) -> usize {
         let running = self.running.borrow();
-        let stopped = running.iter().filter(|(key, _)| is_of(&key.0));
+        let stopped = running.iter().filter(|(key, _)| matches(&key.0));
         stopped.map(|(_, run)| run.stop.notify_one()).count()
     }
 
-    fn drop_run(&self, job: &JobId, index: Index, wait: Duration) {
+    fn drop_run(&self, job: &JobId, index: Index, delay: Duration) {
         let key = (job.clone(), index);
         let run = self.running.borrow_mut().remove(&key);
         if let Some(run) = run {
             run.stop.notify_one();
         }
-        let paused = Paused {
-            until: Some(Instant::now() + wait),
-            ..Paused::default()
+        let waiting = Waiting {
+            until: Some(Instant::now() + delay),
+            ..Waiting::default()
         };
-        self.paused.borrow_mut().insert(key, paused);
+        self.waiting.borrow_mut().insert(key, waiting);
     }
 
-    /// An item under which upstreams end waits: it may not be given up before its time, and may be cleared.
-    fn hold_back(&self, key: Key, until: Instant) {
-        let again = until.min(Instant::now() + HELD_BACK);
-        log::info!(job:% = key.0, item = key.1; "item held back, upstreams end under it");
-        let mut paused = self.paused.borrow_mut();
-        paused.entry(key).or_default().until = Some(again);
+    /// Delays a quarantined item. It is checked again before the quarantine ends, since it may be released early.
+    fn delay_quarantined(&self, key: Key, until: Instant) {
+        let recheck_at = until.min(Instant::now() + QUARANTINE_RECHECK);
+        log::info!(job:% = key.0, item = key.1; "item quarantined, upstreams crash while running it");
+        let mut waiting = self.waiting.borrow_mut();
+        waiting.entry(key).or_default().until = Some(recheck_at);
     }
 
     fn is_own(&self, run: RunId) -> bool {
-        run / RUNS * RUNS == self.first_run
+        run / RUNS_PER_PROCESS * RUNS_PER_PROCESS == self.first_run
     }
 
     fn new_run(&self) -> RunId {
@@ -177,41 +178,41 @@
     }
 }
 
-/// Runs items for as long as it is polled.
+/// Requests slots and starts items in them, for as long as it is polled.
 pub(super) async fn run(node: Rc<Node>) {
     loop {
         let pauses = node.notice_pause();
-        let Some(candidate) = next::next(&node) else {
-            time::sleep(PAUSE).await;
+        let Some(candidate) = selection::next_item(&node) else {
+            time::sleep(IDLE_DELAY).await;
             continue;
         };
         let wanted = Wanted {
-            class: Class::Batch(next::lease_due(candidate.due)),
+            class: Class::Batch(selection::lease_due(candidate.due)),
             service: &candidate.service,
-            exclude: &candidate.avoid,
+            exclude: &candidate.excluded,
             queue: Queue::No,
             rank: 0,
             meter: None,
         };
         let Asked::Granted(lease) = node.sharing.lease(&node, &wanted).await else {
-            time::sleep(PAUSE).await;
+            time::sleep(IDLE_DELAY).await;
             continue;
         };
         if node.notice_pause() != pauses {
-            // The item may be another host's by now.
+            // The process was paused, so another host may own the item now.
             continue;
         }
         start(&node, candidate, lease);
     }
 }
 
-/// Stops all items and waits until the log has what they have so far, or until the time is up.
-pub(super) async fn drained(node: &Node) {
+/// Stops all items and waits until their checkpoints are written, at most for the grace period.
+pub(super) async fn drain(node: &Node) {
     let runner = &node.batch.runner;
     runner.stop_all();
     let until = Instant::now() + node.settings.grace.saturating_sub(STOP_MARGIN);
     while Instant::now() < until {
-        time::sleep(PAUSE).await;
+        time::sleep(IDLE_DELAY).await;
         if runner.running.borrow().is_empty() && node.batch.writer.is_idle() {
             return;
         }
@@ -248,16 +249,16 @@
         content: &content,
     });
     if let Some(until) = node.quarantine.held_until(&request, Instant::now()) {
-        return runner.hold_back(key, until);
+        return runner.delay_quarantined(key, until);
     }
     let max_attempts = job.max_attempts;
-    let in_log = job.progress(key.1).last_event;
+    let logged = job.progress(key.1).last_event;
     let failures = job.failure_count(key.1);
     drop(table);
-    let paused = runner.paused.borrow_mut().remove(&key);
-    let mut paused = paused.unwrap_or_default();
-    paused.last = paused.last.max(in_log);
-    paused.failures = paused.failures.max(failures);
+    let waiting = runner.waiting.borrow_mut().remove(&key);
+    let mut state = waiting.unwrap_or_default();
+    state.last_event = state.last_event.max(logged);
+    state.failures = state.failures.max(failures);
     let run = Rc::new(Run {
         stop: Notify::new(),
     });
@@ -270,19 +271,19 @@
         key,
         submission,
         max_attempts,
-        paused,
+        state,
         run,
     };
     task::spawn_local(task.run(lease, Rc::new(request)));
 }
 
-/// One run of an item, from its slot to its record.
+/// A run of an item in a granted slot.
 struct Task {
     node: Rc<Node>,
     key: Key,
     submission: u64,
     max_attempts: u32,
-    paused: Paused,
+    state: Waiting,
     run: Rc<Run>,
 }
 
@@ -290,80 +291,79 @@
     async fn run(mut self, lease: Lease, request: Rc<Request>) {
         let upstream = lease.upstream.clone();
         let number = self.node.batch.runner.new_run();
-        let after = self.paused.last;
+        let after = self.state.last_event;
         log::info!(job:% = self.key.0, item = self.key.1, upstream:%, run = number, after; "item sent to an upstream");
         let started_at = Instant::now();
-        let progress = RefCell::new(Progress::new(number, after));
+        let received = RefCell::new(Received::new(number, after));
         let ended = tokio::select! {
-            ended = item::run(&self.node, lease, &request, &progress) => ended,
+            ended = item::run(&self.node, lease, &request, &received) => ended,
             () = self.run.stop.notified() => Ended::Stopped,
-            () = self.checkpoints(&progress) => Ended::Stopped,
+            () = self.write_checkpoints(&received) => Ended::Stopped,
         };
-        let mut progress = progress.into_inner();
-        let last = progress.last;
-        let mut pace = self.node.batch.runner.pace.borrow_mut();
-        pace.record_run(last - after, started_at.elapsed());
+        let mut received = received.into_inner();
+        let last = received.last_event;
+        let mut estimator = self.node.batch.runner.estimator.borrow_mut();
+        estimator.record_run(last - after, started_at.elapsed());
         if ended == Ended::Completed {
-            pace.record_completed(last);
+            estimator.record_completed(last);
         }
-        drop(pace);
+        drop(estimator);
         log::info!(job:% = self.key.0, item = self.key.1, upstream:%, run = number, last, ended:?; "item left its upstream");
-        measure::item_left(ended.name());
+        measure::item_left(ended.label());
         match ended {
             Ended::Completed => {
-                let (piece, data) = progress.piece();
+                let (piece, data) = received.take_piece();
                 return self.finish(Outcome::Completed(piece), data);
             }
             Ended::Impossible => return self.abandon(Reason::Impossible),
             Ended::Failed => {
-                self.paused.failures += 1;
-                self.paused.failed_at.push(upstream);
-                if self.paused.failures >= self.max_attempts {
+                self.state.failures += 1;
+                self.state.failed_upstreams.push(upstream);
+                if self.state.failures >= self.max_attempts {
                     return self.abandon(Reason::Attempts);
                 }
-                self.fail(number);
+                self.write_failure(number);
             }
             Ended::Broken | Ended::Reclaimed | Ended::Stopped => {}
         }
         if !self.is_current() {
             return;
         }
-        if progress.has_news() {
-            self.advance(&mut progress);
+        if received.has_unwritten() {
+            self.write_checkpoint(&mut received);
         }
-        self.paused.last = last;
-        let wait = match ended {
-            Ended::Failed | Ended::Broken => RETRY,
+        self.state.last_event = last;
+        let delay = match ended {
+            Ended::Failed | Ended::Broken => RETRY_DELAY,
             _ => Duration::ZERO,
         };
-        self.paused.until = Some(Instant::now() + wait);
+        self.state.until = Some(Instant::now() + delay);
         let runner = &self.node.batch.runner;
         runner.running.borrow_mut().remove(&self.key);
-        runner.paused.borrow_mut().insert(self.key, self.paused);
+        runner.waiting.borrow_mut().insert(self.key, self.state);
     }
 
-    /// Writes how far the run has got, again and again.
-    async fn checkpoints(&self, progress: &RefCell<Progress>) {
-        let mut ticks = time::interval(CHECKPOINT);
+    /// Writes checkpoints periodically.
+    async fn write_checkpoints(&self, received: &RefCell<Received>) {
+        let mut ticks = time::interval(CHECKPOINT_INTERVAL);
         ticks.tick().await;
         loop {
             ticks.tick().await;
-            if progress.borrow().has_news() {
-                self.advance(&mut progress.borrow_mut());
+            if received.borrow().has_unwritten() {
+                self.write_checkpoint(&mut received.borrow_mut());
             }
         }
     }
 
-    /// True unless the log has the item's result, or another run is ahead of this one.
+    /// Returns whether the log has neither the item's result nor a run that is ahead of this one.
     fn is_current(&self) -> bool {
         let running = self.node.batch.runner.running.borrow();
         let run = running.get(&self.key);
         run.is_some_and(|run| Rc::ptr_eq(run, &self.run))
     }
 
-    /// Writes how far the run has got.
-    fn advance(&self, progress: &mut Progress) {
-        let (piece, data) = progress.piece();
+    fn write_checkpoint(&self, received: &mut Received) {
+        let (piece, data) = received.take_piece();
         let record = Record::Checkpointed(Checkpoint {
             job: self.key.0.clone(),
             submission: self.submission,
@@ -373,8 +373,8 @@
         self.node.batch.writer.add(record, data);
     }
 
-    /// Writes that a run has failed, for whoever runs the item next.
-    fn fail(&self, run: RunId) {
+    /// Writes that a run has failed, so that hosts that run the item later count the failure.
+    fn write_failure(&self, run: RunId) {
         let record = Record::Failed(Failure {
             job: self.key.0.clone(),
             submission: self.submission,
@@ -388,27 +388,27 @@
         self.finish(Outcome::Abandoned(reason), Bytes::new());
     }
 
-    /// Writes the result. The item counts as running until the log has it, so that it does not run again meanwhile.
+    /// Writes the result. The item counts as running until the result is in the log, so that it does not run again.
     fn finish(&self, result: Outcome, data: Bytes) {
         if self.is_current() {
-            let record = finished(&self.key, self.submission, result);
+            let record = finish_record(&self.key, self.submission, result);
             self.node.batch.writer.add(record, data);
         }
     }
 }
 
-/// Gives an item up that does not run.
-fn give_up(node: &Node, key: Key, submission: u64, reason: Reason) {
+/// Abandons an item that is not running.
+fn abandon(node: &Node, key: Key, submission: u64, reason: Reason) {
     log::info!(job:% = key.0, item = key.1, reason:?; "item given up");
     let run = Rc::new(Run {
         stop: Notify::new(),
     });
-    let record = finished(&key, submission, Outcome::Abandoned(reason));
+    let record = finish_record(&key, submission, Outcome::Abandoned(reason));
     node.batch.writer.add(record, Bytes::new());
     node.batch.runner.running.borrow_mut().insert(key, run);
 }
 
-fn finished(key: &Key, submission: u64, result: Outcome) -> Record {
+fn finish_record(key: &Key, submission: u64, result: Outcome) -> Record {
     Record::Finished(Finish {
         job: key.0.clone(),
         submission,
--- a/crates/tinbank-gateway/src/batch/runner/next.rs
+++ b/crates/tinbank-gateway/src/batch/runner/selection.rs
@@ -1,4 +1,4 @@
-//! Which item runs next.
+//! Selects the item to run next.
 
 use std::{
     rc::Rc,
@@ -14,9 +14,9 @@
 };
 use tinbank_relay::route::Config;
 
-use super::{Key, give_up};
+use super::{Key, abandon};
 use crate::{
-    batch::{contents, owner},
+    batch::{contents, ownership},
     node::Node,
 };
 
@@ -26,36 +26,36 @@
     pub submission: u64,
     pub due: Due,
     pub service: id::Service,
-    /// Upstreams at which it has failed.
-    pub avoid: Vec<id::Instance>,
+    /// Upstreams that it must not be sent to, because it has failed there.
+    pub excluded: Vec<id::Instance>,
 }
 
-/// The item that is due first among those that this process owns and that may run now.
-pub(super) fn next(node: &Rc<Node>) -> Option<Candidate> {
+/// Returns the item that is due first among those that this process owns and that may run now.
+pub(super) fn next_item(node: &Rc<Node>) -> Option<Candidate> {
     if node.stop.is_stopping() || !node.batch.is_caught_up() {
         return None;
     }
     let config = node.view.config()?;
     let table = node.batch.table.borrow();
-    let owned = table.open_jobs().filter(|job| owner::may_start(node, &job.id));
+    let owned = table.open_jobs().filter(|job| ownership::may_start(node, &job.id));
     owned
-        .filter_map(|job| next_of(node, &config, job))
+        .filter_map(|job| next_of_job(node, &config, job))
         .min_by_key(|candidate| candidate.due)
 }
 
-/// The item of a job that runs next.
-fn next_of(node: &Rc<Node>, config: &Config, job: &Job) -> Option<Candidate> {
+/// Returns the item of a job that is due first, and abandons the items that may no longer run.
+fn next_of_job(node: &Rc<Node>, config: &Config, job: &Job) -> Option<Candidate> {
     let now = Now::read();
     let runner = &node.batch.runner;
     let mut first: Option<(Index, Due)> = None;
     for (index, item) in job.pending() {
         let key = (job.id.clone(), index);
-        let state = state(node, config, job, index, item);
-        let due = match schedule::decide(job, state, &runner.pace.borrow(), now) {
+        let state = item_state(node, config, job, index, item);
+        let due = match schedule::decide(job, state, &runner.estimator.borrow(), now) {
             Decision::Run(due) => due,
             Decision::Wait => continue,
             Decision::Abandon(reason) => {
-                give_up(node, key, job.submission, reason);
+                abandon(node, key, job.submission, reason);
                 continue;
             }
         };
@@ -68,39 +68,39 @@
     }
     let (index, due) = first?;
     if !node.batch.contents.has(&job.id) {
-        contents::fetch(node, job);
+        contents::load(node, job);
         return None;
     }
     candidate(node, config, job, index, due)
 }
 
-/// What this process knows of an item beside the log.
-fn state(node: &Node, config: &Config, job: &Job, index: Index, item: &Item) -> State {
+/// Returns the local state of an item.
+fn item_state(node: &Node, config: &Config, job: &Job, index: Index, item: &Item) -> State {
     let runner = &node.batch.runner;
     let key = (job.id.clone(), index);
-    let paused = runner.paused.borrow();
-    let paused = paused.get(&key);
-    let last = paused.map_or(0, |paused| paused.last);
+    let waiting = runner.waiting.borrow();
+    let waiting = waiting.get(&key);
+    let last_event = waiting.map_or(0, |waiting| waiting.last_event);
     State {
         is_running: runner.running.borrow().contains_key(&key),
-        paused_until: paused.and_then(|paused| paused.until),
-        last_event: last.max(job.progress(index).last_event),
-        route: route(node, config, job, item),
+        paused_until: waiting.and_then(|waiting| waiting.until),
+        last_event: last_event.max(job.progress(index).last_event),
+        route: route_state(node, config, job, item),
     }
 }
 
-/// Whether the configuration has a route for an item, and since when it has none.
-fn route(node: &Node, config: &Config, job: &Job, item: &Item) -> schedule::RouteState {
-    let mut gone = node.batch.runner.routes_gone.borrow_mut();
+/// Returns whether the configuration has a route for an item, and since when it has had none.
+fn route_state(node: &Node, config: &Config, job: &Job, item: &Item) -> schedule::RouteState {
+    let mut missing = node.batch.runner.missing_routes.borrow_mut();
     if config.route(&job.host, &item.path).is_some() {
-        gone.remove(&job.id);
+        missing.remove(&job.id);
         return schedule::RouteState::Present;
     }
     let now = Instant::now();
     if !node.view.is_config_fresh(now) {
         return schedule::RouteState::Unknown;
     }
-    let since = gone.entry(job.id.clone()).or_insert(now);
+    let since = missing.entry(job.id.clone()).or_insert(now);
     schedule::RouteState::MissingSince(*since)
 }
 
@@ -109,24 +109,24 @@
     let item = job.runnable(index)?;
     let route = config.route(&job.host, &item.path)?;
     let service = route.service(node.draw())?.clone();
-    let paused = node.batch.runner.paused.borrow();
-    let paused = paused.get(&key);
-    let failed_at = paused.map(|paused| paused.failed_at.clone());
-    let mut avoid = failed_at.unwrap_or_default();
-    // Where it has failed at all of them, one of them has to try again until its attempts are used up.
-    if !node.view.has_upstream_beside(&service, &avoid) {
-        avoid.clear();
+    let waiting = node.batch.runner.waiting.borrow();
+    let waiting = waiting.get(&key);
+    let failed_upstreams = waiting.map(|waiting| waiting.failed_upstreams.clone());
+    let mut excluded = failed_upstreams.unwrap_or_default();
+    // If it has failed at all upstreams, any of them may run it again.
+    if !node.view.has_upstream_beside(&service, &excluded) {
+        excluded.clear();
     }
     Some(Candidate {
         key,
         submission: job.submission,
         due,
         service,
-        avoid,
+        excluded,
     })
 }
 
-/// When an item is due as allocators are told.
+/// Converts the due time of an item for the allocator.
 pub(super) fn lease_due(due: Due) -> lease::Due {
     let at = due.at.duration_since(SystemTime::UNIX_EPOCH);
     lease::Due {
--- a/crates/tinbank-gateway/src/batch/submission.rs
+++ b/crates/tinbank-gateway/src/batch/submission.rs
@@ -1,4 +1,4 @@
-//! Takes in jobs, and the ends of jobs.
+//! Accepts and cancels jobs.
 
 use std::time::{Duration, Instant, SystemTime};
 
@@ -23,44 +23,43 @@
     relay::RETRY_AFTER,
 };
 
-/// How long one append may take before it is sent again. The fold drops what is written twice.
+/// Timeout of an append, after which it is retried. Duplicate records have no effect.
 const APPEND_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a submission waits for its verdict. Another host may reach the store when this one does not, so the caller
-/// needs time to come again. Source: several times what an append takes at a slow store, well below what callers wait.
-const DECIDE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Part of a route's target for accepting a job that the read may take that tells whether the log is reached, one in so
-/// many: several times what a read takes, and the rest is for the job itself.
+/// Limit on the time until a submission is decided. Well below what callers wait, so that they can retry at another host,
+/// which may reach the store when this one does not.
+const VERDICT_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// A read that checks whether the log is reachable may take one part in this many of the route's target latency.
 const PROBE_PART: u32 = 5;
-/// Part of the time that a caller has left after which it is told to come back while the store is away: one in so many.
-/// Outages last seconds, and by the platform's protocol callers wait for no longer than this part.
-const AWAY_RETRY_PART: u32 = 3;
-/// Time that a caller has left where it does not say.
-const UNKNOWN_TIME_LEFT: Duration = Duration::from_secs(3);
-/// How long the tries to write the contents of a job may take. An answer that is lost never comes, so the first try is
-/// short against the usual target for accepting a job; an answer of a slow store is waited for by the later ones.
+/// While the store is unreachable, callers are asked to retry after one part in this many of their remaining time. The
+/// platform's protocol allows no more.
+const RETRY_AFTER_PART: u32 = 3;
+/// Assumed remaining time of a caller that does not send it.
+const DEFAULT_TIME_LEFT: Duration = Duration::from_secs(3);
+/// Timeouts of the attempts to write the contents of a job. The first one is short in case the answer was lost, the later
+/// ones allow for a slow store.
 const CONTENTS_TIMEOUTS: [Duration; 3] = [
     Duration::from_millis(150),
     Duration::from_millis(300),
     Duration::from_millis(600),
 ];
-/// Pause before an append is sent again.
-const RETRY: Duration = Duration::from_millis(80);
-/// How long the end of a job is tried for.
-const END_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How long a host may take to read the log to its end before it says that it can't tell.
+/// Delay before an append is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(80);
+/// Limit on the time to cancel a job.
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Limit on the time to catch up with the log before a call is answered as unsure.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// What came of writing a record.
+/// The outcome of writing a record.
 enum Written {
-    /// The log has it, at this offset at the latest.
+    /// The record is in the log, at this offset or before.
     At(Offset),
-    /// The log surely doesn't have it and never will.
+    /// The record is not in the log and never will be.
     No,
-    /// The log may have it.
-    Perhaps,
+    /// The record may be in the log.
+    Unknown,
 }
 
-/// Takes in a job. The answer says that it is accepted only if the log says so.
+/// Submits a job. The reply is `Accepted` only if the job is accepted at the position of its record in the log.
 pub(crate) async fn submit(
     node: &Node,
     route: &Route,
@@ -72,14 +71,14 @@
     let customer = caller.name().cloned();
     let job = scope::job_id(customer.as_deref(), &call.id);
     if node.batch.table.borrow().job(&job).is_some() {
-        log::info!(job:% = call.id; "job known, accepted again");
+        log::info!(job:% = call.id; "job already accepted");
         return Reply::Accepted;
     }
     let items = match node.ingress.items(body) {
         Ok(items) => items,
         Err(malformed) => return Reply::Malformed(malformed),
     };
-    if !is_log_reached(node, route).await {
+    if !is_log_reachable(node, route).await {
         return refuse(call, "log of jobs not read to its end");
     }
     let number = identity::number();
@@ -102,18 +101,18 @@
         contents,
     };
     let record = Record::submitted(customer, submission);
-    let (verdict, decided) = oneshot::channel();
-    node.batch.verdicts.borrow_mut().insert(number, verdict);
-    let until = deadline.min(Instant::now() + DECIDE_TIMEOUT);
-    let reply = decide(node, call, &record, decided, until).await;
+    let (sender, receiver) = oneshot::channel();
+    node.batch.verdicts.borrow_mut().insert(number, sender);
+    let until = deadline.min(Instant::now() + VERDICT_TIMEOUT);
+    let reply = write_and_decide(node, call, &record, receiver, until).await;
     node.batch.verdicts.borrow_mut().remove(&number);
     log::info!(job:% = call.id, route:% = route.name, reply:?; "submission answered");
     reply
 }
 
-/// True if the log of jobs is surely reached now. While its reads are answered, nothing is asked; otherwise one short
-/// read tells, before anything is sent that can't be taken back.
-async fn is_log_reached(node: &Node, route: &Route) -> bool {
+/// Returns whether the job log is reachable, before anything irrevocable is written. Reads it only if the follower's reads
+/// were not answered recently.
+async fn is_log_reachable(node: &Node, route: &Route) -> bool {
     if !node.batch.is_caught_up() {
         return false;
     }
@@ -122,7 +121,7 @@
     node.sharing.reaches_store(now) || follower::catch_up(node, until).await
 }
 
-/// The contents of a job for its submission. Nothing if they could not be written.
+/// Attaches the contents of a job to its submission. Returns `None` if they could not be written.
 async fn attach(node: &Node, contents: Contents, deadline: Instant) -> Option<Attachment> {
     if contents.size() <= INLINE_BYTES {
         return Some(Attachment::Inline(contents));
@@ -131,7 +130,7 @@
     stored.map(Attachment::Stored)
 }
 
-/// Writes the contents of a job. Without them there is no record of the job, so nothing of it runs.
+/// Writes the contents of a job, before its submission refers to them.
 async fn write_contents(node: &Node, contents: &Contents, deadline: Instant) -> Option<Stored> {
     let bytes = match contents.encode() {
         Ok(bytes) => bytes,
@@ -144,7 +143,7 @@
         let until = (Instant::now() + timeout).min(deadline);
         match large::write(node, std::slice::from_ref(&bytes), until).await {
             Ok(stored) => return stored.first().copied(),
-            // Nothing of the job runs yet, so a second copy of its contents is harmless.
+            // An unused copy of the contents is harmless.
             Err(Error::Unknown(why)) => log::info!(why:%; "contents of a job not acknowledged"),
             Err(error) => {
                 log::info!(error:%; "contents of a job not written");
@@ -155,30 +154,30 @@
     None
 }
 
-async fn decide(
+async fn write_and_decide(
     node: &Node,
     call: &Request,
     record: &Record,
-    mut decided: oneshot::Receiver<Verdict>,
+    mut receiver: oneshot::Receiver<Verdict>,
     deadline: Instant,
 ) -> Reply {
     let written = tokio::select! {
-        // The verdict may come first: then the answer to the append was lost, or is late.
-        verdict = &mut decided => return verdict.map_or(Reply::Failed, judge),
+        // The verdict comes first if the answer to the append is lost or late.
+        verdict = &mut receiver => return verdict.map_or(Reply::Failed, reply_to),
         written = write(node, record, deadline) => written,
     };
     match written {
         Written::No => return refuse(call, "store not reached"),
-        Written::Perhaps => return Reply::TimedOut,
-        Written::At(offset) => node.batch.want(offset + 1),
+        Written::Unknown => return Reply::TimedOut,
+        Written::At(offset) => node.batch.mark_awaited(offset + 1),
     }
-    match time::timeout_at(deadline.into(), decided).await {
-        Ok(Ok(verdict)) => judge(verdict),
+    match time::timeout_at(deadline.into(), receiver).await {
+        Ok(Ok(verdict)) => reply_to(verdict),
         _ => Reply::TimedOut,
     }
 }
 
-fn judge(verdict: Verdict) -> Reply {
+fn reply_to(verdict: Verdict) -> Reply {
     match verdict {
         Verdict::Accepted | Verdict::Known => Reply::Accepted,
         Verdict::OverQuota { .. } => Reply::OverQuota {
@@ -187,15 +186,15 @@
     }
 }
 
-/// What to tell the caller of a job that this host can not take in, because it does not reach the store.
+/// Returns the reply for a job that this host can't accept because it does not reach the store.
 pub(crate) fn refuse(call: &Request, why: &'static str) -> Reply {
-    let retry_after = call.time_left.unwrap_or(UNKNOWN_TIME_LEFT) / AWAY_RETRY_PART;
+    let retry_after = call.time_left.unwrap_or(DEFAULT_TIME_LEFT) / RETRY_AFTER_PART;
     let retry_after_ms = retry_after.as_millis() as u64;
     log::info!(job:% = call.id, why, retry_after_ms; "job not taken in here, nothing of it runs");
     Reply::NotRun { retry_after }
 }
 
-/// Writes a record, again and again until the log has it or the time is up.
+/// Writes a record, with retries until it is in the log or the deadline passes.
 async fn write(node: &Node, record: &Record, deadline: Instant) -> Written {
     let bytes = match record.encode() {
         Ok(bytes) => bytes,
@@ -204,55 +203,55 @@
             return Written::No;
         }
     };
-    let pieces = fragment::split(&bytes, node.settings.store.record_bytes);
-    let mut perhaps = false;
+    let fragments = fragment::split(&bytes, node.settings.store.record_bytes);
+    let mut may_be_written = false;
     loop {
         let until = (Instant::now() + APPEND_TIMEOUT).min(deadline);
-        match node.store.append(JOBS, &pieces, until).await {
+        match node.store.append(JOBS, &fragments, until).await {
             Ok(offset) => return Written::At(offset),
-            Err(Error::NoEffect(why) | Error::Busy(why)) if !perhaps => {
+            Err(Error::NoEffect(why) | Error::Busy(why)) if !may_be_written => {
                 log::info!(why:%; "append had no effect");
                 return Written::No;
             }
             Err(error) => {
-                log::info!(error:%; "append not answered, sent again");
-                perhaps = true;
+                log::info!(error:%; "append not acknowledged, retrying");
+                may_be_written = true;
             }
         }
-        if Instant::now() + RETRY >= deadline {
-            return Written::Perhaps;
+        if Instant::now() + RETRY_DELAY >= deadline {
+            return Written::Unknown;
         }
-        time::sleep(RETRY).await;
+        time::sleep(RETRY_DELAY).await;
     }
 }
 
-/// Ends a job: nothing of it runs from a moment later on.
+/// Cancels a job. Its items stop as soon as the hosts that run them have read the record.
 pub(crate) async fn cancel(node: &Node, job: JobId) -> Reply {
-    let deadline = Instant::now() + END_TIMEOUT;
-    let ended = |node: &Node| {
+    let deadline = Instant::now() + CANCEL_TIMEOUT;
+    let is_cancelled = |node: &Node| {
         let table = node.batch.table.borrow();
         table.job(&job).map(|job| job.cancelled)
     };
-    if ended(node).is_none() {
+    if is_cancelled(node).is_none() {
         let until = Instant::now() + CATCH_UP_TIMEOUT;
         if !follower::catch_up(node, until).await {
             return Reply::Unsure;
         }
     }
-    match ended(node) {
+    match is_cancelled(node) {
         None => return results::absent(node, &job),
         Some(true) => return Reply::Ended,
         Some(false) => {}
     }
     match write(node, &Record::Cancelled(job.clone()), deadline).await {
         Written::At(offset) => {
-            // This host answers for the end from now on, so it has to know it itself.
-            match follower::reached(node, offset + 1, deadline).await {
+            // Later calls at this host must see that the job is cancelled.
+            match follower::wait_until_applied(node, offset + 1, deadline).await {
                 true => Reply::Ended,
                 false => Reply::TimedOut,
             }
         }
         Written::No => Reply::Unsure,
-        Written::Perhaps => Reply::TimedOut,
+        Written::Unknown => Reply::TimedOut,
     }
 }
