--- a/crates/tinbank-gateway/src/batch/follower.rs
+++ b/crates/tinbank-gateway/src/batch/follower.rs
@@ -94,7 +94,7 @@
             page = read(node, from, LONG_POLL_MS, timeout) => return page,
             () = long_poll_overdue(node) => {
                 let wanted = node.batch.awaited_end.get();
-                log::info!(offset = from, wanted; "read that waits for records does not tell them, reading at once");
+                log::info!(offset = from, wanted; "read that waits for records does not return them, reading again without wait");
             }
         }
     }
--- a/crates/tinbank-gateway/src/batch/forward.rs
+++ b/crates/tinbank-gateway/src/batch/forward.rs
@@ -60,17 +60,17 @@
         match exchange(node, host, request, until).await {
             Ok(answer) => {
                 let status = answer.status();
-                log::info!(target_path:% = head.uri, host:%, status = status.as_u16(); "call passed on to a host that reaches the store");
+                log::info!(target_path:% = head.uri, host:%, status = status.as_u16(); "call forwarded to a host that reaches the store");
                 if status != StatusCode::SERVICE_UNAVAILABLE {
                     return Forwarded::Answered(answer);
                 }
                 refused = Forwarded::Answered(answer);
             }
             Err(exchange::Error::NotSent(why)) => {
-                log::info!(target_path:% = head.uri, host:%, why:%; "call not passed on");
+                log::info!(target_path:% = head.uri, host:%, why:%; "call not forwarded");
             }
             Err(error) => {
-                log::info!(target_path:% = head.uri, host:%, error:%; "call passed on without an answer");
+                log::info!(target_path:% = head.uri, host:%, error:%; "call forwarded without an answer");
                 return Forwarded::Unknown;
             }
         }
--- a/crates/tinbank-gateway/src/batch/mod.rs
+++ b/crates/tinbank-gateway/src/batch/mod.rs
@@ -120,7 +120,7 @@
             // The log is followed until the runs are drained, since it shows which records have been written.
             () = run_items(&node) => {}
         }
-        log::info!("jobs left to other hosts");
+        log::info!("jobs left to other hosts, no longer a delegate");
         node.sharing.store_left();
         node.batch.reset();
     }
--- a/crates/tinbank-gateway/src/batch/results.rs
+++ b/crates/tinbank-gateway/src/batch/results.rs
@@ -161,7 +161,7 @@
 }
 
 fn unsure(job: &str, why: &'static str) -> Reply {
-    log::info!(job, why; "can't tell about the job now");
+    log::info!(job, why; "cannot tell the state of the job now");
     Reply::Unsure
 }
 
--- a/crates/tinbank-gateway/src/batch/runner.rs
+++ b/crates/tinbank-gateway/src/batch/runner.rs
@@ -399,7 +399,7 @@
 
 /// Abandons an item that is not running.
 fn abandon(node: &Node, key: Key, submission: u64, reason: Reason) {
-    log::info!(job:% = key.0, item = key.1, reason:?; "item given up");
+    log::info!(job:% = key.0, item = key.1, reason:?; "item abandoned");
     let run = Rc::new(Run {
         stop: Notify::new(),
     });
