--- a/crates/tinbank-gateway/src/batch/follower.rs
+++ b/crates/tinbank-gateway/src/batch/follower.rs
@@ -207,7 +207,9 @@
                 log::info!(job:%, item = index, offset = joined.offset; "item finished");
             }
         }
-        Change::Checkpointed { job, index, run } => node.batch.runner.on_checkpointed(&job, index, run),
+        Change::Checkpointed { job, index, run } => {
+            node.batch.runner.on_checkpointed(&job, index, run)
+        }
         Change::Conflict { job, index, run } => {
             let level = log_level(node, &job);
             log::log!(level, job:%, item = index, offset = joined.offset, run; "run of an item discarded, another run is ahead");
--- a/crates/tinbank-gateway/src/batch/runner/selection.rs
+++ b/crates/tinbank-gateway/src/batch/runner/selection.rs
@@ -37,7 +37,9 @@
     }
     let config = node.view.config()?;
     let table = node.batch.table.borrow();
-    let owned = table.open_jobs().filter(|job| ownership::may_start(node, &job.id));
+    let owned = table
+        .open_jobs()
+        .filter(|job| ownership::may_start(node, &job.id));
     owned
         .filter_map(|job| next_of_job(node, &config, job))
         .min_by_key(|candidate| candidate.due)
--- a/crates/tinbank-jobs/src/record.rs
+++ b/crates/tinbank-jobs/src/record.rs
@@ -277,7 +277,9 @@
     pub fn submission(&self) -> Option<&Submission> {
         match self {
             Self::Submitted(submission) | Self::SubmittedBy(_, submission) => Some(submission),
-            Self::Finished(_) | Self::Cancelled(_) | Self::Checkpointed(_) | Self::Failed(_) => None,
+            Self::Finished(_) | Self::Cancelled(_) | Self::Checkpointed(_) | Self::Failed(_) => {
+                None
+            }
         }
     }
 }
--- a/crates/tinbank-jobs/src/scope.rs
+++ b/crates/tinbank-jobs/src/scope.rs
@@ -17,7 +17,9 @@
     let mut id = JobId::new();
     match customer {
         Some(customer) => {
-            customer.chars().for_each(|character| push(&mut id, character));
+            customer
+                .chars()
+                .for_each(|character| push(&mut id, character));
             id.push(SEPARATOR);
         }
         None if job.contains(SEPARATOR) => id.push(SEPARATOR),
