--- /dev/null
+++ b/crates/tinbank-gateway/src/batch/runner/selection.rs
@@ -0,0 +1,138 @@
+//! Selects the item to run next.
+
+use std::{
+    rc::Rc,
+    time::{Instant, SystemTime},
+};
+
+use tinbank_allocator::lease;
+use tinbank_base::id;
+use tinbank_jobs::{
+    job::Job,
+    record::{Index, Item},
+    schedule::{self, Decision, Due, Now, State},
+};
+use tinbank_relay::route::Config;
+
+use super::{Key, abandon};
+use crate::{
+    batch::{contents, ownership},
+    node::Node,
+};
+
+/// An item that may run now.
+pub(super) struct Candidate {
+    pub key: Key,
+    pub submission: u64,
+    pub due: Due,
+    pub service: id::Service,
+    /// Upstreams that it must not be sent to, because it has failed there.
+    pub excluded: Vec<id::Instance>,
+}
+
+/// Returns the item that is due first among those that this process owns and that may run now.
+pub(super) fn next_item(node: &Rc<Node>) -> Option<Candidate> {
+    if node.stop.is_stopping() || !node.batch.is_caught_up() {
+        return None;
+    }
+    let config = node.view.config()?;
+    let table = node.batch.table.borrow();
+    let owned = table
+        .open_jobs()
+        .filter(|job| ownership::may_start(node, &job.id));
+    owned
+        .filter_map(|job| next_of_job(node, &config, job))
+        .min_by_key(|candidate| candidate.due)
+}
+
+/// Returns the item of a job that is due first, and abandons the items that may no longer run.
+fn next_of_job(node: &Rc<Node>, config: &Config, job: &Job) -> Option<Candidate> {
+    let now = Now::read();
+    let runner = &node.batch.runner;
+    let mut first: Option<(Index, Due)> = None;
+    for (index, item) in job.pending() {
+        let key = (job.id.clone(), index);
+        let state = item_state(node, config, job, index, item);
+        let due = match schedule::decide(job, state, &runner.estimator.borrow(), now) {
+            Decision::Run(due) => due,
+            Decision::Wait => continue,
+            Decision::Abandon(reason) => {
+                abandon(node, key, job.submission, reason);
+                continue;
+            }
+        };
+        if first.is_none_or(|(_, earliest)| due < earliest) {
+            first = Some((index, due));
+        }
+        if !due.is_late {
+            break;
+        }
+    }
+    let (index, due) = first?;
+    if !node.batch.contents.has(&job.id) {
+        contents::load(node, job);
+        return None;
+    }
+    candidate(node, config, job, index, due)
+}
+
+/// Returns the local state of an item.
+fn item_state(node: &Node, config: &Config, job: &Job, index: Index, item: &Item) -> State {
+    let runner = &node.batch.runner;
+    let key = (job.id.clone(), index);
+    let waiting = runner.waiting.borrow();
+    let waiting = waiting.get(&key);
+    let last_event = waiting.map_or(0, |waiting| waiting.last_event);
+    State {
+        is_running: runner.running.borrow().contains_key(&key),
+        paused_until: waiting.and_then(|waiting| waiting.until),
+        last_event: last_event.max(job.progress(index).last_event),
+        route: route_state(node, config, job, item),
+    }
+}
+
+/// Returns whether the configuration has a route for an item, and since when it has had none.
+fn route_state(node: &Node, config: &Config, job: &Job, item: &Item) -> schedule::RouteState {
+    let mut missing = node.batch.runner.missing_routes.borrow_mut();
+    if config.route(&job.host, &item.path).is_some() {
+        missing.remove(&job.id);
+        return schedule::RouteState::Present;
+    }
+    let now = Instant::now();
+    if !node.view.is_config_fresh(now) {
+        return schedule::RouteState::Unknown;
+    }
+    let since = missing.entry(job.id.clone()).or_insert(now);
+    schedule::RouteState::MissingSince(*since)
+}
+
+fn candidate(node: &Node, config: &Config, job: &Job, index: Index, due: Due) -> Option<Candidate> {
+    let key = (job.id.clone(), index);
+    let item = job.runnable(index)?;
+    let route = config.route(&job.host, &item.path)?;
+    let service = route.service(node.next_draw())?.clone();
+    let waiting = node.batch.runner.waiting.borrow();
+    let waiting = waiting.get(&key);
+    let failed_upstreams = waiting.map(|waiting| waiting.failed_upstreams.clone());
+    let mut excluded = failed_upstreams.unwrap_or_default();
+    // If it has failed at all upstreams, any of them may run it again.
+    if !node.view.has_other_upstream(&service, &excluded) {
+        excluded.clear();
+    }
+    Some(Candidate {
+        key,
+        submission: job.submission,
+        due,
+        service,
+        excluded,
+    })
+}
+
+/// Converts the due time of an item for the allocator.
+pub(super) fn lease_due(due: Due) -> lease::Due {
+    let at = due.at.duration_since(SystemTime::UNIX_EPOCH);
+    lease::Due {
+        late: due.is_late,
+        at_ms: at.map_or(0, |at| at.as_millis() as u64),
+    }
+}
