--- a/crates/tinbank-gateway/src/batch/results.rs
+++ b/crates/tinbank-gateway/src/batch/results.rs
@@ -13,7 +13,7 @@
 use super::{contents, follower, large};
 use crate::{
     border::{
-        ingress::{ItemResult, Page, Reply, ItemOutcome},
+        ingress::{ItemOutcome, Page, PageEntry, Reply},
         store::Error,
     },
     node::Node,
@@ -90,7 +90,7 @@
     let mut results = Vec::with_capacity(outline.results.len());
     while let Some((item, result)) = filled.next().await {
         match result {
-            Ok(result) => results.push(ItemResult {
+            Ok(result) => results.push(PageEntry {
                 item: item.clone(),
                 result,
             }),
--- a/crates/tinbank-gateway/src/border/engine.rs
+++ b/crates/tinbank-gateway/src/border/engine.rs
@@ -154,7 +154,11 @@
         body: Bytes,
     ) -> Request;
     /// A call as it came, for another host, which has to know the key as well.
-    fn forwarded_request(&self, head: &http::request::Parts, body: Bytes) -> http::Request<Full<Bytes>>;
+    fn forwarded_request(
+        &self,
+        head: &http::request::Parts,
+        body: Bytes,
+    ) -> http::Request<Full<Bytes>>;
     /// The request of a batch item.
     fn item_request(&self, item: Item<'_>) -> Request;
     /// The bytes of an attempt.
--- a/crates/tinbank-gateway/src/border/ingress.rs
+++ b/crates/tinbank-gateway/src/border/ingress.rs
@@ -107,7 +107,7 @@
 
 /// A result at its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ItemResult {
+pub struct PageEntry {
     /// The item.
     pub item: ItemId,
     /// What came of it.
@@ -122,7 +122,7 @@
     /// Position behind the last result of the page.
     pub next: usize,
     /// The results.
-    pub results: Vec<ItemResult>,
+    pub results: Vec<PageEntry>,
 }
 
 /// An answer of the system's own.
--- a/crates/tinbank-gateway/src/border/store.rs
+++ b/crates/tinbank-gateway/src/border/store.rs
@@ -168,7 +168,12 @@
 #[async_trait(?Send)]
 pub trait Store {
     /// Appends records to a partition, all or none. Answers the offset of the first.
-    async fn append(&self, at: TopicPartition, records: &[Bytes], until: Instant) -> Result<Offset, Error>;
+    async fn append(
+        &self,
+        at: TopicPartition,
+        records: &[Bytes],
+        until: Instant,
+    ) -> Result<Offset, Error>;
     /// Reads records from an offset on, and waits for the first as long as the range says.
     async fn read(&self, at: TopicPartition, range: Range, until: Instant) -> Result<Page, Error>;
     /// A page of the newest entries of a list: the first one, or the one at a cursor.
--- a/crates/tinbank-gateway/src/quarantine/mod.rs
+++ b/crates/tinbank-gateway/src/quarantine/mod.rs
@@ -73,7 +73,9 @@
                     let change = self.table.borrow_mut().apply_stored(stored, now);
                     self.record_changes(change, "the store");
                 }
-                ListEntry::QuarantineLifted(request) => self.table.borrow_mut().apply_removal(request),
+                ListEntry::QuarantineLifted(request) => {
+                    self.table.borrow_mut().apply_removal(request)
+                }
                 _ => {}
             }
         }
--- a/crates/tinbank-gateway/src/relay/mod.rs
+++ b/crates/tinbank-gateway/src/relay/mod.rs
@@ -55,27 +55,24 @@
     node.check_for_pause();
     let at = ClockReading::read();
     let received = at.monotonic;
-    let Some(config) = node
-        .view
-        .wait_for_config(received + STARTUP_TIMEOUT)
-        .await
-    else {
+    let Some(config) = node.view.wait_for_config(received + STARTUP_TIMEOUT).await else {
         return refuse(node, &call.id, "no configuration read yet");
     };
     let Some(route) = config.route(&call.host, &call.path).cloned() else {
         return no_route(node, &call, config.version, received);
     };
-    let caller = match access::authenticate(node, &config, &call.id, call.key.as_ref(), route.is_open) {
-        Ok(caller) => caller,
-        Err(AuthError::Unauthorized) => return reply_with(node, Reply::NoKey),
-        Err(AuthError::StaleConfig) => {
-            return refuse(
-                node,
-                &call.id,
-                "key not found in a configuration that may be outdated",
-            );
-        }
-    };
+    let caller =
+        match access::authenticate(node, &config, &call.id, call.key.as_ref(), route.is_open) {
+            Ok(caller) => caller,
+            Err(AuthError::Unauthorized) => return reply_with(node, Reply::NoKey),
+            Err(AuthError::StaleConfig) => {
+                return refuse(
+                    node,
+                    &call.id,
+                    "key not found in a configuration that may be outdated",
+                );
+            }
+        };
     let time = call.time_left.unwrap_or(DEFAULT_TIMEOUT);
     let deadline = received + time.min(route.timeout);
     let body = match read_body(body, config.limits.body_bytes, deadline).await {
@@ -85,7 +82,9 @@
     if route.kind == Kind::Batch {
         return submit(node, &route, &caller, &call, &head, body, deadline).await;
     }
-    let request = node.engine.relayed_request(&call.id, (&caller).into(), &head, body);
+    let request = node
+        .engine
+        .relayed_request(&call.id, (&caller).into(), &head, body);
     let request = Rc::new(request);
     let arrival = Arrival {
         at,
--- a/crates/tinbank-gateway/src/run.rs
+++ b/crates/tinbank-gateway/src/run.rs
@@ -18,9 +18,9 @@
     batch,
     border::{
         engine::Engine,
+        full_body,
         ingress::Ingress,
         store::{List, Store},
-        full_body,
     },
     clock::TICK,
     feed, identity,
--- a/crates/tinbank-gateway/src/serve.rs
+++ b/crates/tinbank-gateway/src/serve.rs
@@ -155,7 +155,8 @@
         return Reply::Unsure;
     };
     let is_open = config.has_open_jobs(&about.host);
-    let caller = match access::authenticate(node, &config, &about.job, about.key.as_ref(), is_open) {
+    let caller = match access::authenticate(node, &config, &about.job, about.key.as_ref(), is_open)
+    {
         Ok(caller) => caller,
         Err(AuthError::Unauthorized) => return Reply::NoKey,
         Err(AuthError::StaleConfig) => return Reply::Unsure,
--- a/crates/tinbank-gateway/src/sharing/held.rs
+++ b/crates/tinbank-gateway/src/sharing/held.rs
@@ -102,7 +102,9 @@
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
         state.holdings.remove(&lease.id);
-        state.avoidance.record_outcome(&lease.upstream, outcome, now);
+        state
+            .avoidance
+            .record_outcome(&lease.upstream, outcome, now);
         drop(state);
         let Some(allocator) = lease.allocator else {
             return;
--- a/crates/tinbank-gateway/src/sharing/peers.rs
+++ b/crates/tinbank-gateway/src/sharing/peers.rs
@@ -102,7 +102,11 @@
     /// Records that a host did not answer in time.
     pub(super) fn record_timeout(&self, allocator: SocketAddr, why: &'static str) {
         let now = Instant::now();
-        let was_replaced = self.state.borrow_mut().directory.record_timeout(allocator, now);
+        let was_replaced = self
+            .state
+            .borrow_mut()
+            .directory
+            .record_timeout(allocator, now);
         if was_replaced {
             log::warn!(peer:% = allocator, why; "host unresponsive, skipped as allocator");
             self.send_holdings(now);
--- a/crates/tinbank-gateway/src/watch.rs
+++ b/crates/tinbank-gateway/src/watch.rs
@@ -19,8 +19,8 @@
 
 use crate::{
     border::store::{
-        Assignment, Cursor, Entries, Error, List, Membership, NewestPage, Offset, Page, TopicPartition, Range,
-        Store,
+        Assignment, Cursor, Entries, Error, List, Membership, NewestPage, Offset, Page, Range,
+        Store, TopicPartition,
     },
     clock::Clock,
     retry::Retry,
@@ -129,7 +129,12 @@
 
 #[async_trait(?Send)]
 impl Store for Watched {
-    async fn append(&self, at: TopicPartition, records: &[Bytes], until: Instant) -> Result<Offset, Error> {
+    async fn append(
+        &self,
+        at: TopicPartition,
+        records: &[Bytes],
+        until: Instant,
+    ) -> Result<Offset, Error> {
         self.call(self.store.append(at, records, until)).await
     }
 
@@ -143,7 +148,8 @@
         at: Option<&Cursor>,
         until: Instant,
     ) -> Result<NewestPage, Error> {
-        self.read_call(self.store.read_newest(list, at, until)).await
+        self.read_call(self.store.read_newest(list, at, until))
+            .await
     }
 
     async fn read_since(
