--- a/crates/tinbank-gateway/src/feed.rs
+++ b/crates/tinbank-gateway/src/feed.rs
@@ -1,7 +1,7 @@
 //! How this process gets the lists of the store: it reads them on behalf of other hosts, or follows a host that does.
 
+mod bootstrap;
 mod follower;
-mod introduction;
 mod server;
 
 use std::{
@@ -13,8 +13,8 @@
 use tokio::sync::Notify;
 
 pub(crate) use self::{
+    bootstrap::{bootstrap, register_first_delegate},
     follower::follow,
-    introduction::{bootstrap, register_first_delegate},
     server::serve,
 };
 use crate::{border::store::List, sharing::Sharing};
--- a/crates/tinbank-gateway/src/quarantine/mod.rs
+++ b/crates/tinbank-gateway/src/quarantine/mod.rs
@@ -4,9 +4,9 @@
 //! costs no round trip. The store keeps the quarantined requests, and a host reads them when it starts. See
 //! `docs/design/quarantine.md`.
 
-mod look;
-mod record;
-mod tell;
+mod broadcast;
+mod probe;
+mod store;
 
 use std::{cell::RefCell, collections::HashMap, net::SocketAddr, rc::Rc, time::Instant};
 
@@ -18,7 +18,9 @@
 };
 use tokio::sync::Notify;
 
-pub(crate) use self::{look::record_broken_connection, record::write_to_store, tell::broadcast};
+pub(crate) use self::{
+    broadcast::broadcast, probe::record_broken_connection, store::write_to_store,
+};
 use crate::{
     border::{engine::Request, store::Written},
     node::Node,
@@ -32,7 +34,7 @@
 pub(crate) struct Quarantine {
     table: RefCell<Table>,
     /// Requests whose connections an upstream closed, while the upstream is being probed.
-    interrupted: RefCell<HashMap<id::Instance, look::Interrupted>>,
+    interrupted: RefCell<HashMap<id::Instance, probe::Interrupted>>,
     /// Notified when there may be pending writes to the store.
     changed: Notify,
     /// Pending updates to other hosts.
--- a/crates/tinbank-gateway/src/view.rs
+++ b/crates/tinbank-gateway/src/view.rs
@@ -2,9 +2,9 @@
 
 mod entries;
 mod lists;
-mod mark;
 mod pages;
-mod told;
+mod update;
+mod watermark;
 
 use std::{
     cell::{Cell, RefCell},
@@ -25,8 +25,8 @@
 };
 use tokio::{sync::Notify, time};
 
-use self::mark::Lists;
-pub(crate) use self::{lists::follow, mark::Watermark, told::apply_update};
+use self::watermark::Lists;
+pub(crate) use self::{lists::follow, update::apply_update, watermark::Watermark};
 use crate::border::store::{Error, List};
 
 /// How long the store delays the answer to a read until there is a change.
--- a/crates/tinbank-gateway/src/view/told.rs
+++ b/crates/tinbank-gateway/src/view/update.rs
@@ -13,7 +13,7 @@
 use super::{
     View,
     entries::{apply_config, on_evacuation_changes, record_changes, record_read},
-    mark::Watermark,
+    watermark::Watermark,
 };
 use crate::{
     border::store::{List, Written},
