--- a/crates/tinbank-gateway/src/relay/mod.rs
+++ b/crates/tinbank-gateway/src/relay/mod.rs
@@ -39,13 +39,13 @@
 
 /// Value of `Retry-After` for a refused request: a free slot or a newer list is likely by then.
 pub(crate) const RETRY_AFTER: Duration = Duration::from_millis(300);
-/// Time for which requests wait for the first read of the store after a start. A refusal could cost a caller whose previous
-/// host failed its last try.
+/// Time for which requests wait for the first read of the store after a start. A refusal would waste what may be the last
+/// try of a caller whose previous host failed.
 const STARTUP_TIMEOUT: Duration = Duration::from_millis(250);
 /// Timeout of a request that sets none.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Handles a request that is not about a job.
+/// Handles a request to a route, including the submission of a job.
 pub(crate) async fn request(
     node: &Rc<Node>,
     call: ingress::Request,
--- a/crates/tinbank-gateway/src/relay/online.rs
+++ b/crates/tinbank-gateway/src/relay/online.rs
@@ -37,7 +37,7 @@
     sharing::{Allocation, Lease, SlotSpec},
 };
 
-/// Number of failed attempts after which a request is refused.
+/// Number of attempts without an answer after which a request is given up.
 const MAX_REFUSALS: usize = 6;
 
 /// An online request in progress.
