--- a/crates/tinbank-gateway/src/view/watermark.rs
+++ b/crates/tinbank-gateway/src/view/watermark.rs
@@ -17,7 +17,7 @@
     upstreams: Watermark,
     hosts: Watermark,
     quarantine: Watermark,
-    leads: Watermark,
+    first_delegates: Watermark,
     /// Watermark of the evacuations. They are stored with the configuration, which followers know by its version.
     pub evacuations: Watermark,
     /// Changes to the upstreams, for hosts that follow this one.
@@ -45,7 +45,7 @@
             List::Upstreams => &self.upstreams,
             List::Hosts => &self.hosts,
             List::Quarantine => &self.quarantine,
-            List::Leads => &self.leads,
+            List::Leads => &self.first_delegates,
         }
     }
 }
