--- a/crates/tinbank-gateway/src/relay/online.rs
+++ b/crates/tinbank-gateway/src/relay/online.rs
@@ -16,7 +16,7 @@
     attempt::{Attempts, Failure, Next},
     event,
     route::{Kind, Route},
-    silence::AttemptTimeout,
+    timeout::AttemptTimeout,
 };
 
 use super::{
@@ -303,7 +303,7 @@
             target: self.route.target_latency,
             is_queued,
             is_late: self.admission.is_late,
-            typical_hold: self.node.usual(&self.route).held,
+            typical_slot_time: self.node.usual(&self.route).held,
         };
         timeout
             .deadline(Instant::now())
--- a/crates/tinbank-gateway/src/relay/stream.rs
+++ b/crates/tinbank-gateway/src/relay/stream.rs
@@ -10,7 +10,7 @@
     attempt::{Failure, Next},
     event::{self, Event, Splitter},
     route::Kind,
-    silence::IdleTimeout,
+    timeout::IdleTimeout,
 };
 use tokio::time;
 
--- a/crates/tinbank-gateway/src/sharing/ask/tests.rs
+++ b/crates/tinbank-gateway/src/sharing/ask/tests.rs
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn an_answer_that_comes_twice_ends_no_lease_in_use() {
+fn a_duplicate_grant_does_not_release_a_lease_in_use() {
     run(async {
         let fixture = Fixture::new().await;
         let request = request(&fixture, Queue::No);
--- a/crates/tinbank-relay/src/lib.rs
+++ b/crates/tinbank-relay/src/lib.rs
@@ -9,5 +9,5 @@
 pub mod listing;
 mod remaining;
 pub mod route;
-pub mod silence;
+pub mod timeout;
 pub mod upstream;
--- a/crates/tinbank-relay/src/silence.rs
+++ b/crates/tinbank-relay/src/timeout.rs
@@ -66,18 +66,18 @@
     pub is_queued: bool,
     /// Whether the answer misses its target in any case.
     pub is_late: bool,
-    /// Average time for which requests of the route hold a slot, if it was measured.
-    pub typical_hold: Option<Duration>,
+    /// Average slot time of the route's requests, if it was measured.
+    pub typical_slot_time: Option<Duration>,
 }
 
 impl AttemptTimeout {
     /// Returns when the upstream counts as unresponsive. A queued request may take its full target time or, if it is late
-    /// anyway, as long as the requests ahead of it hold their slots.
+    /// anyway, as long as the slot time of the requests ahead of it.
     pub fn deadline(&self, now: Instant) -> Instant {
         let timeout = match (self.is_queued, self.is_late) {
             (false, _) => self.target / TARGET_DIVISOR,
             (true, false) => self.target,
-            (true, true) => self.typical_hold.unwrap_or_default().max(self.target),
+            (true, true) => self.typical_slot_time.unwrap_or_default().max(self.target),
         };
         now + timeout.max(MIN_RESPONSE_TIMEOUT)
     }
--- a/crates/tinbank-relay/tests/silence.rs
+++ b/crates/tinbank-relay/tests/timeout.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use tinbank_relay::silence::{AttemptTimeout, IdleTimeout};
+use tinbank_relay::timeout::{AttemptTimeout, IdleTimeout};
 use yare::parameterized;
 
 fn ms(ms: u64) -> Duration {
@@ -58,7 +58,7 @@
     running_and_late = { false, true, Some(700), 300, 150 },
     queued = { true, false, Some(700), 300, 300 },
     queued_and_late = { true, true, Some(700), 300, 700 },
-    queued_and_late_without_measured_hold = { true, true, None, 300, 300 },
+    queued_and_late_without_measured_slot_time = { true, true, None, 300, 300 },
     no_target = { false, false, None, 0, 150 },
 )]
 fn the_response_timeout_covers_the_expected_wait(
@@ -73,7 +73,7 @@
         target: ms(target_ms),
         is_queued,
         is_late,
-        typical_hold: held_ms.map(ms),
+        typical_slot_time: held_ms.map(ms),
     };
 
     assert_eq!(timeout.deadline(now), now + ms(expected_ms));
