--- a/crates/tinbank-gateway/src/batch/large.rs
+++ b/crates/tinbank-gateway/src/batch/large.rs
@@ -13,7 +13,7 @@
 };
 
 use crate::{
-    border::store::{Error, Offset, TopicPartition, Range, Topic},
+    border::store::{Error, Offset, Range, Topic, TopicPartition},
     node::Node,
 };
 
--- a/crates/tinbank-gateway/src/batch/mod.rs
+++ b/crates/tinbank-gateway/src/batch/mod.rs
@@ -21,7 +21,7 @@
 use tokio::sync::{Notify, oneshot};
 
 use crate::{
-    border::store::{Offset, TopicPartition, Topic},
+    border::store::{Offset, Topic, TopicPartition},
     node::Node,
 };
 
--- a/crates/tinbank-gateway/src/batch/owner.rs
+++ b/crates/tinbank-gateway/src/batch/owner.rs
@@ -15,7 +15,7 @@
 
 use super::partition;
 use crate::{
-    border::store::{Membership, TopicPartition, Topic},
+    border::store::{Membership, Topic, TopicPartition},
     dependency::Dependency,
     node::Node,
 };
--- a/crates/tinbank-gateway/src/batch/results.rs
+++ b/crates/tinbank-gateway/src/batch/results.rs
@@ -13,7 +13,7 @@
 use super::{contents, follower, large};
 use crate::{
     border::{
-        ingress::{ItemResult, Page, Reply, ItemOutcome},
+        ingress::{ItemOutcome, ItemResult, Page, Reply},
         store::Error,
     },
     node::Node,
--- a/crates/tinbank-gateway/src/feed/follower.rs
+++ b/crates/tinbank-gateway/src/feed/follower.rs
@@ -104,7 +104,11 @@
     };
     let is_narrow = scope != Scope::Whole;
     let longest_wait = wait(&scope);
-    let Some(answer) = node.clock.discard_if_paused(exchange(node, delegate, scope)).await else {
+    let Some(answer) = node
+        .clock
+        .discard_if_paused(exchange(node, delegate, scope))
+        .await
+    else {
         log::info!(delegate:%; "answer of a delegate not believed, the process was paused meanwhile");
         return false;
     };
--- a/crates/tinbank-gateway/src/relay/attempt.rs
+++ b/crates/tinbank-gateway/src/relay/attempt.rs
@@ -14,7 +14,7 @@
 use super::answer::{Answer, Witness};
 use crate::{
     border::engine::{Attempt, Request, Verdict},
-    exchange::{self, Error, ConnectionGuard, Deadlines},
+    exchange::{self, ConnectionGuard, Deadlines, Error},
     measure,
     node::Node,
     sharing::Lease,
--- a/crates/tinbank-gateway/src/relay/mod.rs
+++ b/crates/tinbank-gateway/src/relay/mod.rs
@@ -61,13 +61,14 @@
     let Some(route) = config.route(&call.host, &call.path).cloned() else {
         return no_route(node, &call, config.version, received);
     };
-    let caller = match access::authenticate(node, &config, &call.id, call.key.as_ref(), route.is_open) {
-        Ok(caller) => caller,
-        Err(AuthError::Unauthorized) => return reply_with(node, Reply::NoKey),
-        Err(AuthError::StaleConfig) => {
-            return refuse(node, &call.id, "key not in a configuration that may be old");
-        }
-    };
+    let caller =
+        match access::authenticate(node, &config, &call.id, call.key.as_ref(), route.is_open) {
+            Ok(caller) => caller,
+            Err(AuthError::Unauthorized) => return reply_with(node, Reply::NoKey),
+            Err(AuthError::StaleConfig) => {
+                return refuse(node, &call.id, "key not in a configuration that may be old");
+            }
+        };
     let time = call.time_left.unwrap_or(LONGEST_TIME);
     let deadline = received + time.min(route.timeout);
     let body = match read(body, config.limits.body_bytes, deadline).await {
@@ -77,7 +78,9 @@
     if route.kind == Kind::Batch {
         return submit(node, &route, &caller, &call, &head, body, deadline).await;
     }
-    let request = node.engine.relayed_request(&call.id, (&caller).into(), &head, body);
+    let request = node
+        .engine
+        .relayed_request(&call.id, (&caller).into(), &head, body);
     let request = Rc::new(request);
     let arrival = Arrival {
         at,
--- a/crates/tinbank-gateway/src/sharing/survey.rs
+++ b/crates/tinbank-gateway/src/sharing/survey.rs
@@ -86,8 +86,11 @@
         connect: until,
         response: until,
     };
-    let (answer, _guard) = exchange::send(upstream.address, node.engine.load_request(), times).await?;
+    let (answer, _guard) =
+        exchange::send(upstream.address, node.engine.load_request(), times).await?;
     let body = time::timeout_at(until.into(), answer.into_body().collect()).await;
     let body = body.map_err(|_| exchange::Error::Timeout)??;
-    Ok(node.engine.parse_load(&upstream.instance, &body.to_bytes())?)
+    Ok(node
+        .engine
+        .parse_load(&upstream.instance, &body.to_bytes())?)
 }
--- a/crates/tinbank-gateway/src/view/entries.rs
+++ b/crates/tinbank-gateway/src/view/entries.rs
@@ -10,7 +10,7 @@
 
 use super::View;
 use crate::{
-    border::store::{Entries, List, Offset, ListEntry},
+    border::store::{Entries, List, ListEntry, Offset},
     measure,
     node::Node,
 };
@@ -135,7 +135,9 @@
         false => entries
             .flat_map(|written| match written {
                 ListEntry::Upstream(upstream) if is_wanted(&upstream) => listing.add(upstream),
-                ListEntry::UpstreamRemoved(name) => listing.remove(&name, now).into_iter().collect(),
+                ListEntry::UpstreamRemoved(name) => {
+                    listing.remove(&name, now).into_iter().collect()
+                }
                 _ => Changes::new(),
             })
             .collect(),
--- a/crates/tinbank-gateway/src/view/pages.rs
+++ b/crates/tinbank-gateway/src/view/pages.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use crate::{
-    border::store::{Cursor, Entries, Error, List, Offset, ListEntry},
+    border::store::{Cursor, Entries, Error, List, ListEntry, Offset},
     node::Node,
 };
 
@@ -46,7 +46,10 @@
 
 impl Pages {
     async fn read(&mut self, node: &Node, list: List, until: Instant) -> Result<Read, Error> {
-        let page = node.store.read_newest(list, self.next.as_ref(), until).await?;
+        let page = node
+            .store
+            .read_newest(list, self.next.as_ref(), until)
+            .await?;
         let end = *self.end.get_or_insert(page.end);
         self.next = page.next;
         if self.next.is_some() {
