--- a/crates/tinbank-gateway/src/access.rs
+++ b/crates/tinbank-gateway/src/access.rs
@@ -1,4 +1,4 @@
-//! Who sends a request, by the configuration in force at this host.
+//! Authenticates callers against the configuration in force at this host.
 
 use std::time::Instant;
 
@@ -7,17 +7,17 @@
 
 use crate::node::Node;
 
-/// A request that is not served because of its key.
+/// Why a request is rejected for its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AuthError {
-    /// No customer has the key.
+    /// No customer has the key, or the request carries no key.
     Unauthorized,
-    /// No customer had the key when this host last heard of the configuration, which is some time ago.
+    /// No customer has the key, but the configuration of this host may be outdated.
     StaleConfig,
 }
 
-/// Who sends a request with a key, or without one, of which `id` is the name. A key that is not known is refused only by a
-/// configuration that was read a moment ago: it may be a new one.
+/// Identifies the sender of the request or job `id`. An unknown key is rejected for good only while the configuration is
+/// fresh, because a newer configuration may contain the key.
 pub(crate) fn authenticate(
     node: &Node,
     config: &Config,
--- a/crates/tinbank-gateway/src/border/engine.rs
+++ b/crates/tinbank-gateway/src/border/engine.rs
@@ -1,4 +1,4 @@
-//! Requests to upstreams, and what their answers say.
+//! Codec for requests to upstreams and their responses.
 
 use std::{cell::OnceCell, time::Duration};
 
@@ -11,32 +11,34 @@
 use tinbank_quarantine::{Content, Fingerprint};
 use tinbank_relay::event;
 
-/// A request as it came; each attempt sends it on.
+/// A request that attempts send to upstreams.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Name of the request, which an upstream repeats in its answer.
+    /// Id of the request, which an upstream repeats in its response.
     pub id: String,
-    /// Its customer, if it is a customer's.
+    /// The customer that sent the request, if any.
     pub customer: Option<id::Customer>,
-    /// Its method.
+    /// Method.
     pub method: Method,
     /// Path and query.
     pub target: String,
-    /// Headers, without those of one connection only.
+    /// End-to-end headers.
     pub headers: HeaderMap,
-    /// Its whole body.
+    /// Complete body.
     pub body: Bytes,
-    /// Its fingerprint, once it was asked for: each attempt asks, and so does the end of the answer.
-    pub digested: OnceCell<Fingerprint>,
+    /// Fingerprint, computed on first use.
+    pub fingerprint_cache: OnceCell<Fingerprint>,
 }
 
 impl Request {
-    /// What the request has in common with those that are the same one under other ids.
+    /// Returns the fingerprint of the content, which is the same for repetitions of the request under other ids.
     pub fn fingerprint(&self) -> Fingerprint {
-        *self.digested.get_or_init(|| self.digest())
+        *self
+            .fingerprint_cache
+            .get_or_init(|| self.compute_fingerprint())
     }
 
-    fn digest(&self) -> Fingerprint {
+    fn compute_fingerprint(&self) -> Fingerprint {
         let host = self.headers.get(header::HOST);
         let content = Content {
             customer: self.customer.as_deref(),
@@ -49,19 +51,19 @@
     }
 }
 
-/// Who sends a request, as upstreams are told.
+/// The sender of a request, as it is reported to upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sender<'a> {
-    /// The configuration has no customers; the request is sent on as it came.
+    /// The configuration has no customers; the request is forwarded unchanged.
     Unchecked,
-    /// Nobody that upstreams are told of.
+    /// A sender without a key; nothing is reported.
     Anonymous,
-    /// A customer, by its name.
+    /// A customer, by name.
     Customer(&'a str),
 }
 
 impl Sender<'_> {
-    /// The customer, if it is one.
+    /// Returns the customer, if the sender is one.
     pub fn customer(self) -> Option<id::Customer> {
         match self {
             Self::Unchecked | Self::Anonymous => None,
@@ -80,72 +82,72 @@
     }
 }
 
-/// A batch item to send.
+/// A batch item to be sent.
 #[derive(Clone, Copy, Debug)]
 pub struct Item<'a> {
     /// Host name that its job was submitted under.
     pub host: &'a str,
-    /// Whose item it is.
+    /// Sender of its job.
     pub sender: Sender<'a>,
-    /// Name of the item.
+    /// Id of the item.
     pub id: &'a str,
-    /// Path that it is sent to.
+    /// Path of the request.
     pub path: &'a str,
-    /// What it is sent with.
+    /// Headers and body of the request.
     pub content: &'a record::Content,
 }
 
-/// What is particular to one attempt.
+/// The parts of a request that differ between attempts.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt<'a> {
-    /// The upstream that it is meant for; any other one refuses it.
+    /// The upstream that may run the request; any other one refuses it.
     pub instance: &'a str,
-    /// How long the upstream may work on it.
+    /// How long the upstream may work on the request.
     pub time_left: Duration,
-    /// Last event already had; the upstream goes on behind it.
+    /// Last event already received; the upstream resumes after it.
     pub resume_after: Option<event::Id>,
 }
 
-/// What the head of an answer says.
+/// Classification of a response by its head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// The upstream did not run the request.
     NotRun,
-    /// The upstream at this address is another one, and did not run the request.
+    /// The address belongs to another upstream, which did not run the request.
     OtherInstance,
-    /// The answer belongs to another request.
+    /// The response belongs to another request.
     OtherRequest,
-    /// The upstream refused the request, but does not say that it did not run it, or its answer is not its own.
+    /// The request may have run: the upstream refused it without stating that it did not run, or did not sign its response.
     Unclear,
-    /// The answer to the request.
+    /// The response to the request.
     Answer,
     /// The upstream ran the request and failed.
     Failed,
-    /// The upstream says that the request can never be done.
+    /// The request can never succeed at any upstream.
     Unprocessable,
 }
 
-/// How much an upstream has to do, as it told some hundred milliseconds later.
+/// Load of an upstream. Upstreams report it with a delay of some hundred milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Requests that it works on.
+    /// Number of requests being processed.
     pub running: usize,
-    /// Requests that wait inside it.
+    /// Number of requests queued inside the upstream.
     pub waiting: usize,
 }
 
-/// A report that can't be used.
+/// A load report that is malformed or stems from another start of the upstream.
 #[derive(Debug, thiserror::Error)]
-#[error("report can't be used: {0}")]
+#[error("invalid load report: {0}")]
 pub struct InvalidReport(pub String);
 
-/// Encodes requests and reads answers.
+/// Encodes requests to upstreams and decodes their responses.
 pub trait Engine {
-    /// The request for an upstream's report.
+    /// Returns the HTTP request for an upstream's load report.
     fn load_request(&self) -> http::Request<Full<Bytes>>;
-    /// What the report of an upstream says. One of another start of it says nothing about this one.
+    /// Parses the load report of an upstream. A report of another start of the upstream is an error.
     fn parse_load(&self, instance: &str, report: &[u8]) -> Result<Load, InvalidReport>;
-    /// The request of a caller, by its head and body. Upstreams are told whose it is, and never by which key.
+    /// Returns the request that relays a caller's request. It names the sender but does not contain its key.
     fn relayed_request(
         &self,
         id: &str,
@@ -153,14 +155,18 @@
         head: &http::request::Parts,
         body: Bytes,
     ) -> Request;
-    /// A call as it came, for another host, which has to know the key as well.
-    fn forwarded_request(&self, head: &http::request::Parts, body: Bytes) -> http::Request<Full<Bytes>>;
-    /// The request of a batch item.
+    /// Returns the HTTP request that forwards a call, including its key, to another host.
+    fn forwarded_request(
+        &self,
+        head: &http::request::Parts,
+        body: Bytes,
+    ) -> http::Request<Full<Bytes>>;
+    /// Returns the request of a batch item.
     fn item_request(&self, item: Item<'_>) -> Request;
-    /// The bytes of an attempt.
+    /// Returns the HTTP request of an attempt.
     fn encode(&self, request: &Request, attempt: Attempt<'_>) -> http::Request<Full<Bytes>>;
-    /// What the head of an answer says.
+    /// Classifies a response by its head.
     fn classify(&self, request: &Request, head: &http::response::Parts) -> Verdict;
-    /// The head for the caller, from that of the upstream.
+    /// Returns a response for the caller with the status and headers of the upstream's response.
     fn caller_response(&self, head: http::response::Parts) -> http::response::Builder;
 }
--- a/crates/tinbank-gateway/src/border/ingress.rs
+++ b/crates/tinbank-gateway/src/border/ingress.rs
@@ -1,4 +1,4 @@
-//! Calls of callers, and the answers to them.
+//! Codec for calls of callers and the replies to them.
 
 use std::time::Duration;
 
@@ -9,53 +9,53 @@
 
 use super::Body;
 
-/// What a caller asks for.
+/// A decoded call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// A request for a route: relayed to an upstream, or a batch job.
+    /// A request for a route: an online request or the submission of a batch job.
     Request(Request),
-    /// Something about a job that was submitted before.
-    Job(AboutJob),
+    /// A call about a job that was submitted before.
+    Job(JobCall),
 }
 
 /// A call about a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AboutJob {
-    /// Name that its caller gave the job.
+pub struct JobCall {
+    /// Id that the caller gave the job.
     pub job: String,
-    /// Host name that the call carries.
+    /// Host name of the call.
     pub host: String,
-    /// Key that it carries.
+    /// Key of the caller.
     pub key: Option<Key>,
-    /// What is asked.
-    pub call: JobCall,
+    /// What the call does.
+    pub operation: JobOperation,
 }
 
-/// What a caller asks about a job.
+/// An operation on a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum JobCall {
-    /// Its results from a position on.
+pub enum JobOperation {
+    /// Reads results.
     Results {
-        /// Position of the first result asked for.
+        /// Position of the first result.
         from: usize,
-        /// How long the answer may wait for a result.
+        /// How long the reply may wait for a result.
         wait: Duration,
     },
-    /// The body of an item without a result.
+    /// Reads the body of an item that has no result.
     Body {
         /// The item.
         item: ItemId,
     },
-    /// The end of the job.
-    End,
+    /// Cancels the job.
+    Cancel,
 }
 
-impl AboutJob {
-    /// How long the answer may wait.
+impl JobCall {
+    /// Returns how long the reply may wait for a result.
     pub fn wait(&self) -> Duration {
-        match &self.call {
-            JobCall::Results { wait, .. } => *wait,
-            JobCall::Body { .. } | JobCall::End => Duration::ZERO,
+        match &self.operation {
+            JobOperation::Results { wait, .. } => *wait,
+            JobOperation::Body { .. } | JobOperation::Cancel => Duration::ZERO,
         }
     }
 }
@@ -63,122 +63,122 @@
 /// A request for a route.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Name that the caller gave this attempt.
+    /// Id that the caller gave this attempt.
     pub id: String,
-    /// Host name it carries.
+    /// Host name of the request.
     pub host: String,
     /// Path without query.
     pub path: String,
-    /// Key that it carries.
+    /// Key of the caller.
     pub key: Option<Key>,
     /// How long the caller waits.
     pub time_left: Option<Duration>,
-    /// Last event that the caller has of the stream it continues.
+    /// Last event that the caller received of the stream it resumes.
     pub resume_after: Option<event::Id>,
 }
 
-/// A call that can't be understood.
+/// A call that can't be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{place}: {problem}")]
 pub struct Malformed {
-    /// Header, parameter or part of the body.
+    /// Header, query parameter or field of the body that is wrong.
     pub place: String,
-    /// What is wrong with it, and what is expected.
+    /// What is wrong with it.
     pub problem: String,
 }
 
-/// An item as a caller submits it.
+/// An item of a submitted job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Item {
-    /// What every host knows of it.
+    /// The part that every delegate keeps in memory.
     pub item: record::Item,
-    /// What it is sent with.
+    /// Headers and body of its request.
     pub content: Content,
 }
 
-/// The result of an item for its caller.
+/// The outcome of an item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ItemOutcome {
-    /// The data of all events, in order, separated by line feeds.
+    /// The data of all events in order, separated by line feeds.
     Completed(Bytes),
-    /// The item is given up.
+    /// The item was abandoned.
     Abandoned(Reason),
 }
 
-/// A result at its position.
+/// The result of an item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ItemResult {
     /// The item.
     pub item: ItemId,
-    /// What came of it.
+    /// Its outcome.
     pub result: ItemOutcome,
 }
 
-/// Results of a job from a position on.
+/// A page of the results of a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Page {
-    /// Items of the job.
+    /// Number of items of the job.
     pub total: Index,
-    /// Position behind the last result of the page.
+    /// Position after the last result of the page.
     pub next: usize,
     /// The results.
     pub results: Vec<ItemResult>,
 }
 
-/// An answer of the system's own.
+/// A reply that the host generates itself. Logs print the names of the variants.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// The job is the system's to keep.
+    /// The job is stored and will be run.
     Accepted,
-    /// It is more than its customer may have now; nothing of it runs.
+    /// The request or job exceeds its customer's allowance or the quota of its route; nothing of it runs.
     OverQuota {
-        /// When to ask again.
+        /// When the caller should retry.
         retry_after: Duration,
     },
     /// The request has not run and never will.
     NotRun {
-        /// When to ask again.
+        /// When the caller should retry.
         retry_after: Duration,
     },
-    /// The request has not run and never will, because upstreams end under it.
+    /// The request is quarantined because it crashes upstreams. It has not run and never will.
     HeldBack {
-        /// When it may be tried again.
+        /// When the caller may retry.
         retry_after: Duration,
     },
-    /// This host can't tell now; another may.
+    /// This host can't answer now; another one may.
     Unsure,
     /// The request failed; it may have run.
     Failed,
-    /// The time is up; the request may have run.
+    /// The deadline passed; the request may have run.
     TimedOut,
-    /// The request carries no key of a customer.
+    /// The request carries no valid key.
     NoKey,
-    /// No route takes the request.
+    /// No route matches the request.
     NoRoute,
     /// There is no such job or item.
     NotFound,
     /// The request is larger than the configuration allows.
     TooLarge,
-    /// The call can't be understood.
+    /// The call can't be decoded.
     Malformed(Malformed),
-    /// Results.
+    /// Results of a job.
     Results(Page),
     /// The body of an item.
     Body(Bytes),
-    /// The job is ended.
+    /// The job was cancelled.
     Ended,
-    /// The process can take requests.
+    /// The process is ready to take requests.
     Ready,
     /// The process takes no requests now.
     NotReady,
 }
 
-/// Decodes calls and encodes answers.
+/// Decodes calls and encodes replies.
 pub trait Ingress {
-    /// What a request asks for, by its head.
+    /// Decodes a call from the head of its request.
     fn decode(&self, head: &http::request::Parts) -> Result<Call, Malformed>;
-    /// The items of a job, from the body of its submission.
+    /// Decodes the items of a job from the body of its submission.
     fn items(&self, body: &[u8]) -> Result<Vec<Item>, Malformed>;
-    /// The answer that says so.
+    /// Encodes a reply.
     fn encode(&self, reply: Reply) -> http::Response<Body>;
 }
--- a/crates/tinbank-gateway/src/border/mod.rs
+++ b/crates/tinbank-gateway/src/border/mod.rs
@@ -1,4 +1,4 @@
-//! The traits behind which the platform stands, and the types that cross them.
+//! Traits that abstract the platform, and their types.
 
 pub mod engine;
 pub mod ingress;
@@ -9,15 +9,15 @@
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 
-/// An answer's body was given up before its end; the connection is closed, so that it can't appear complete.
+/// Aborts a response body before its end. The connection is closed, so that the response can't appear complete.
 #[derive(Debug, thiserror::Error)]
-#[error("the answer was given up before its end: {0}")]
+#[error("response aborted: {0}")]
 pub struct Aborted(pub &'static str);
 
-/// The body of an answer to a caller.
+/// The body of a response to a caller.
 pub type Body = Pin<Box<dyn http_body::Body<Data = Bytes, Error = Aborted>>>;
 
-/// A body that is whole already.
+/// Returns a body with the given content.
 pub fn full_body(bytes: impl Into<Bytes>) -> Body {
     let full = Full::new(bytes.into());
     Box::pin(full.map_err(|never| match never {}))
--- a/crates/tinbank-gateway/src/border/store.rs
+++ b/crates/tinbank-gateway/src/border/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store: logs with partitions, groups, and what operators and upstreams write there.
+//! The platform's store: partitioned logs, consumer groups, and lists that operators, upstreams and hosts write.
 
 use std::{net::SocketAddr, time::Instant};
 
@@ -9,42 +9,42 @@
 use tinbank_quarantine::{Fingerprint, Held};
 use tinbank_relay::{route::Config, upstream::Upstream};
 
-/// Position of a record in a partition.
+/// Offset of a record in a partition.
 pub type Offset = u64;
 /// Number of a partition in a topic.
 pub type Partition = u32;
 
-/// Why a call at the store has no answer to give.
+/// Why a call to the store failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// The call had no effect: it did not reach the store, or the store said so.
+    /// The call had no effect: it did not reach the store, or the store reported so.
     #[error("no effect: {0}")]
     NoEffect(String),
-    /// The store refused the call, and did nothing: it serves others, or has too many calls.
+    /// The store refused the call because of its load; the call had no effect.
     #[error("refused: {0}")]
     Busy(String),
-    /// The call may have had its effect, or may have it within seconds.
+    /// The call may have taken effect, or may still take effect within seconds.
     #[error("effect unknown: {0}")]
     Unknown(String),
-    /// The records asked for are gone; the oldest one kept is `first`.
-    #[error("records before offset {first} are gone")]
+    /// The requested records were deleted.
+    #[error("records before offset {first} were deleted")]
     Trimmed {
-        /// Oldest offset kept.
+        /// Oldest offset that is kept.
         first: Offset,
     },
-    /// The store answered with something that its protocol does not know.
-    #[error("unexpected answer: {0}")]
+    /// The store's response violates its protocol.
+    #[error("unexpected response: {0}")]
     Protocol(String),
 }
 
-/// Topics that the system keeps for itself.
+/// Topics of the system's own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Topic {
     /// Records of batch jobs, all in partition 0.
     Jobs,
-    /// Contents and texts of items, which hosts read only when they need them.
+    /// Contents and results of items, which hosts read only on demand.
     Contents,
-    /// Holds no records that count; its partitions say who runs which jobs.
+    /// Topic without meaningful records: the assignment of its partitions decides which host runs which jobs.
     Owners,
 }
 
@@ -57,76 +57,76 @@
     pub partition: Partition,
 }
 
-/// Which records are read.
+/// A range of records to read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Range {
-    /// Offset of the first one.
+    /// Offset of the first record.
     pub from: Offset,
-    /// About so many bytes at the most; one record at least, if there is any.
+    /// Approximate limit of the page in bytes. At least one record is returned, if there is any.
     pub bytes: usize,
-    /// How long the call may wait for the first one, in milliseconds.
+    /// How long the call may wait for the first record, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// A stretch of a partition.
+/// Consecutive records of a partition.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Page {
-    /// Offset behind the last record of the partition.
+    /// Offset after the last record of the partition.
     pub end: Offset,
-    /// The records from the offset asked for.
+    /// The records from the requested offset on.
     pub records: Vec<Bytes>,
 }
 
-/// What a member of a group holds.
+/// Partitions that are assigned to a group member.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Assignment {
-    /// Rises with every change of the group.
+    /// Generation of the group, which increases with every change.
     pub generation: u64,
-    /// Partitions of the topic that the member holds.
+    /// The assigned partitions of the topic.
     pub partitions: Vec<Partition>,
 }
 
-/// A member of a group.
+/// Membership in a consumer group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Membership {
     /// Name of the member.
     pub member: String,
-    /// Topic whose partitions are dealt out.
+    /// Topic whose partitions are assigned to the members.
     pub topic: Topic,
-    /// Generation that the member heard last; 0 at first.
+    /// Last generation that the member received; 0 at first.
     pub generation: u64,
-    /// How long the member may stay silent, in milliseconds.
+    /// Session timeout, in milliseconds.
     pub ttl_ms: u64,
 }
 
-/// What an operator or an upstream wrote since a position, decoded.
+/// A decoded entry of a list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ListEntry {
     /// The configuration in force.
     Config(Config),
     /// An upstream is listed.
     Upstream(Upstream),
-    /// Nothing usable is listed under an upstream's name any more.
+    /// The entry under an upstream's name was removed or is unusable.
     UpstreamRemoved(tinbank_base::id::Instance),
     /// A host of the system is registered.
     Host(Peer),
-    /// The first delegate of a failure domain is named.
+    /// The first delegate of a failure domain.
     FirstDelegate(Lead),
-    /// A host of the system has signed off.
+    /// A host of the system was unregistered.
     HostRemoved(SocketAddr),
-    /// A request is held back.
+    /// A request is quarantined.
     Quarantined(Held),
-    /// A request is not held back any more.
+    /// The quarantine of a request was lifted.
     QuarantineLifted(Fingerprint),
-    /// Nothing new is to be sent to the upstreams of a failure domain.
+    /// A failure domain is evacuated: its upstreams get no new requests.
     Evacuated(tinbank_base::id::FailureDomain),
-    /// A failure domain's upstreams take requests again.
+    /// The evacuation of a failure domain was lifted.
     Reinstated(tinbank_base::id::FailureDomain),
-    /// Something that the system has no use for.
+    /// An entry that the system ignores.
     Other,
 }
 
-/// A list that the platform keeps the newest entries of.
+/// A compacted list, of which the store keeps the newest entry of each key. Logs print the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum List {
     /// The operator's configuration.
@@ -135,50 +135,55 @@
     Upstreams,
     /// The hosts of the system.
     Hosts,
-    /// The requests that are held back, because upstreams end under them.
+    /// The requests that are quarantined because they crash upstreams.
     Quarantine,
     /// The first delegates of the failure domains.
     Leads,
 }
 
-/// Entries of a list, and the position from which to read on.
+/// Consecutive entries of a list.
 #[derive(Clone, Debug, Default)]
 pub struct Entries {
     /// The entries, oldest first.
     pub entries: Vec<ListEntry>,
-    /// Position behind them.
+    /// Offset after the last entry, from which to continue reading.
     pub end: Offset,
 }
 
-/// Where the next page of the newest entries begins.
+/// Start of a page of the newest entries.
 pub type Cursor = String;
 
-/// Some of the newest entries of a list.
+/// A page of the newest entries of a list.
 #[derive(Clone, Debug, Default)]
 pub struct NewestPage {
     /// The entries of the page.
     pub entries: Vec<ListEntry>,
-    /// Position behind all entries that were there when the page was made. Pages are no snapshot.
+    /// Offset after the last entry of the list when the page was read. The pages together are not a snapshot.
     pub end: Offset,
-    /// Where the next page begins, if there is one.
+    /// Start of the next page, if there is one.
     pub next: Option<Cursor>,
 }
 
-/// The platform's store. An answer begins by `until`, and goes on for as long as bytes come.
+/// The platform's store. A response has to begin by `until`, and may continue for as long as data arrives.
 #[async_trait(?Send)]
 pub trait Store {
-    /// Appends records to a partition, all or none. Answers the offset of the first.
-    async fn append(&self, at: TopicPartition, records: &[Bytes], until: Instant) -> Result<Offset, Error>;
-    /// Reads records from an offset on, and waits for the first as long as the range says.
+    /// Appends records to a partition, all or none, and returns the offset of the first.
+    async fn append(
+        &self,
+        at: TopicPartition,
+        records: &[Bytes],
+        until: Instant,
+    ) -> Result<Offset, Error>;
+    /// Reads a range of records of a partition.
     async fn read(&self, at: TopicPartition, range: Range, until: Instant) -> Result<Page, Error>;
-    /// A page of the newest entries of a list: the first one, or the one at a cursor.
+    /// Reads a page of the newest entries of a list: the first page, or the one at a cursor.
     async fn read_newest(
         &self,
         list: List,
         at: Option<&Cursor>,
         until: Instant,
     ) -> Result<NewestPage, Error>;
-    /// What was written to a list since a position; waits up to `wait_ms` for it.
+    /// Reads the entries of a list from an offset on, and waits up to `wait_ms` for the first.
     async fn read_since(
         &self,
         list: List,
@@ -188,16 +193,16 @@
     ) -> Result<Entries, Error>;
     /// Registers a host of the system.
     async fn register(&self, host: &Peer, until: Instant) -> Result<(), Error>;
-    /// Takes a host of the system off the list.
+    /// Removes a host of the system from the list.
     async fn unregister(&self, host: &Peer, until: Instant) -> Result<(), Error>;
-    /// Names the first delegate of a failure domain.
+    /// Sets the first delegate of a failure domain.
     async fn set_first_delegate(&self, lead: &Lead, until: Instant) -> Result<(), Error>;
-    /// Enters a request that is held back.
+    /// Quarantines a request.
     async fn quarantine(&self, held: &Held, until: Instant) -> Result<(), Error>;
-    /// Takes a request off those that are held back.
+    /// Lifts the quarantine of a request.
     async fn lift_quarantine(&self, request: Fingerprint, until: Instant) -> Result<(), Error>;
-    /// Joins a group, or stays in it.
+    /// Joins a group, or renews the membership.
     async fn join(&self, membership: &Membership, until: Instant) -> Result<Assignment, Error>;
-    /// Leaves a group, so that others get the member's partitions at once.
+    /// Leaves a group, so that the member's partitions are reassigned at once.
     async fn leave(&self, membership: &Membership, until: Instant) -> Result<(), Error>;
 }
--- a/crates/tinbank-gateway/src/clock.rs
+++ b/crates/tinbank-gateway/src/clock.rs
@@ -1,8 +1,8 @@
-//! Notices that the process did not run for a while.
+//! Detects that the process did not run for a while.
 //!
-//! The steady clock, by which all deadlines and ages are kept, goes on while a process is frozen and stands while its host is
-//! suspended: then a list that was read ten seconds ago seems to be fresh, and a request seems to have all its time left. The
-//! clock that counts from the boot goes on in both cases.
+//! All deadlines and ages use the monotonic clock. That clock advances while a process is frozen, but stands still while its
+//! host is suspended: a list read ten seconds ago would seem fresh, and a request would seem to have all its time left. The
+//! boot-time clock advances in both cases.
 
 use std::{
     cell::Cell,
@@ -11,23 +11,22 @@
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// How often the process looks at the clock, if nothing else does.
-pub const TICK: Duration = Duration::from_millis(100);
-/// A look that comes this much late means that the process was paused. Source: far above what a slow host causes,
-/// below the shortest bound that the platform states.
-const PAUSE: Duration = Duration::from_millis(1_000);
+/// How often the process checks the clocks if nothing else does.
+pub const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// How late a check has to be for the process to count as paused: longer than the delays of a slow host.
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(1_000);
 
-/// A moment on both clocks.
+/// A point in time on both clocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockReading {
-    /// The steady clock.
+    /// Time on the monotonic clock.
     pub monotonic: Instant,
-    /// Time since the boot, with the time for which the host was suspended.
+    /// Time since boot, including the time the host was suspended.
     pub since_boot: Duration,
 }
 
 impl ClockReading {
-    /// Now.
+    /// Reads both clocks.
     pub fn read() -> Self {
         let since_boot = clock_gettime(ClockId::Boottime);
         let seconds = u64::try_from(since_boot.tv_sec).unwrap_or_default();
@@ -38,13 +37,13 @@
         }
     }
 
-    /// Time from an earlier moment, whichever clock has counted more of it.
-    fn since(self, earlier: Self) -> Duration {
+    /// Returns the time since an earlier reading, by the clock that advanced further.
+    fn elapsed_since(self, earlier: Self) -> Duration {
         let monotonic = self.monotonic.saturating_duration_since(earlier.monotonic);
         monotonic.max(self.since_boot.saturating_sub(earlier.since_boot))
     }
 
-    /// Time from an earlier moment that the steady clock has not counted.
+    /// Returns the time since an earlier reading that the monotonic clock did not count.
     pub fn suspended_since(self, earlier: Self) -> Duration {
         let monotonic = self.monotonic.saturating_duration_since(earlier.monotonic);
         let since_boot = self.since_boot.saturating_sub(earlier.since_boot);
@@ -52,48 +51,48 @@
     }
 }
 
-/// The last moment at which the process ran, and how often it did not run for a while.
+/// Detector of pauses of the process.
 #[derive(Debug)]
-pub struct Clock {
-    last: Cell<ClockReading>,
-    pauses: Cell<u64>,
-    /// The longest pause that nobody has acted on.
-    unnoticed: Cell<Option<Duration>>,
+pub struct PauseDetector {
+    last_check: Cell<ClockReading>,
+    pauses: Cell<PauseCount>,
+    /// The longest pause that has not been handled yet.
+    unhandled: Cell<Option<Duration>>,
 }
 
-/// Pauses until some moment; another number later means that there was one meanwhile.
-pub type Pauses = u64;
+/// Number of pauses so far. Two different counts mean that the process was paused in between.
+pub type PauseCount = u64;
 
-impl Clock {
-    /// A clock that was looked at now.
+impl PauseDetector {
+    /// Creates a detector whose last check was at `now`.
     pub fn new(now: ClockReading) -> Self {
         Self {
-            last: Cell::new(now),
+            last_check: Cell::new(now),
             pauses: Cell::new(0),
-            unnoticed: Cell::new(None),
+            unhandled: Cell::new(None),
         }
     }
 
-    /// Looks at the clock. How many pauses there were so far.
-    pub fn look(&self, now: ClockReading) -> Pauses {
-        let gap = now.since(self.last.replace(now));
-        if gap > TICK + PAUSE {
+    /// Checks for a pause since the last check and returns the number of pauses so far.
+    pub fn check(&self, now: ClockReading) -> PauseCount {
+        let gap = now.elapsed_since(self.last_check.replace(now));
+        if gap > CHECK_INTERVAL + PAUSE_THRESHOLD {
             self.pauses.set(self.pauses.get() + 1);
-            self.unnoticed.set(self.unnoticed.get().max(Some(gap)));
+            self.unhandled.set(self.unhandled.get().max(Some(gap)));
         }
         self.pauses.get()
     }
 
-    /// Waits for what comes, and says nothing of it if the process was paused meanwhile: it may have lain there all the time, so
-    /// nobody knows how old it is.
-    pub async fn discard_if_paused<T>(&self, coming: impl Future<Output = T>) -> Option<T> {
-        let before = self.look(ClockReading::read());
-        let came = coming.await;
-        (self.look(ClockReading::read()) == before).then_some(came)
+    /// Awaits a result, and returns `None` if the process was paused meanwhile: the result may have been buffered for the
+    /// whole pause, so its age is unknown.
+    pub async fn discard_if_paused<T>(&self, result: impl Future<Output = T>) -> Option<T> {
+        let before = self.check(ClockReading::read());
+        let result = result.await;
+        (self.check(ClockReading::read()) == before).then_some(result)
     }
 
-    /// The pause that nobody has acted on yet, if there was one.
+    /// Returns the longest pause since the last call, if there was one.
     pub fn take_pause(&self) -> Option<Duration> {
-        self.unnoticed.take()
+        self.unhandled.take()
     }
 }
--- a/crates/tinbank-gateway/src/dependency.rs
+++ b/crates/tinbank-gateway/src/dependency.rs
@@ -1,10 +1,10 @@
-//! Whether a part of the platform's store is reached; a change is told once, in the log and on the metrics.
+//! Whether a part of the platform's store is reachable. Each change is reported once, in the log and in the metrics.
 
 use std::{fmt::Display, time::Instant};
 
 use crate::measure;
 
-/// Something at the store that the process reads or writes all the time.
+/// A list or log of the store that the process reads or writes continuously.
 #[derive(Debug)]
 pub(crate) struct Dependency {
     name: &'static str,
@@ -12,7 +12,7 @@
 }
 
 impl Dependency {
-    /// One that is thought to be reached.
+    /// Creates a dependency that counts as reachable until a call fails.
     pub fn new(name: &'static str) -> Self {
         Self {
             name,
@@ -20,7 +20,7 @@
         }
     }
 
-    /// It has answered.
+    /// Records a call that succeeded.
     pub fn record_success(&mut self) {
         let Some(lost_at) = self.lost_at.take() else {
             return;
@@ -30,7 +30,7 @@
         log::info!(dependency = self.name, lost_ms; "dependency regained");
     }
 
-    /// It has not answered, or with an error.
+    /// Records a call that failed or timed out.
     pub fn record_failure(&mut self, error: &dyn Display) {
         if self.lost_at.is_some() {
             return;
--- a/crates/tinbank-gateway/src/exchange.rs
+++ b/crates/tinbank-gateway/src/exchange.rs
@@ -1,7 +1,7 @@
-//! One HTTP exchange over a connection of its own.
+//! A single HTTP exchange over its own connection.
 //!
-//! Connections are not kept: an upstream closes idle ones without notice, and its late answers could meet the next
-//! request. A new connection costs a round trip. See `docs/design/users-platform.md`.
+//! Connections are not reused: an upstream closes idle ones without notice, and a late response could be taken for the
+//! response to the next request. See `docs/design/users-platform.md`.
 
 use std::{
     io::ErrorKind,
@@ -21,25 +21,25 @@
     time,
 };
 
-/// For how long data may stay unacknowledged before the connection counts as broken. Without it a connection to a host
-/// that lost power hangs. Source: the shortest time after which a caller leaves a silent stream.
+/// How long sent data may stay unacknowledged before the connection is closed. Without this limit a connection to a host
+/// that lost power hangs.
 const USER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why an exchange gave no answer.
+/// Why an exchange got no response.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// There was no connection, so nothing was sent.
+    /// The connection failed, so nothing was sent.
     #[error("no connection: {0}")]
     NotSent(String),
-    /// The request may have arrived.
+    /// The connection broke; the request may have arrived.
     #[error("connection lost: {0}")]
     Lost(String),
-    /// The request may have arrived, and there was no answer in time.
-    #[error("no answer in time")]
+    /// No response arrived in time; the request may have arrived.
+    #[error("no response in time")]
     Timeout,
 }
 
-/// Closes the connection when it is dropped, which cancels the request at the other side.
+/// Guard that closes the connection when it is dropped, which cancels the request at the server.
 #[derive(Debug)]
 pub struct ConnectionGuard(AbortHandle);
 
@@ -49,22 +49,22 @@
     }
 }
 
-/// Times by which the parts of an exchange must be done.
+/// Deadlines of an exchange.
 #[derive(Clone, Copy, Debug)]
 pub struct Deadlines {
-    /// The connection is there.
+    /// When the connection must be established.
     pub connect: Instant,
-    /// The head of the answer is there.
+    /// When the head of the response must have arrived.
     pub response: Instant,
 }
 
-/// Sends a request over a new connection and waits for the head of the answer.
+/// Sends a request over a new connection and waits for the head of the response.
 pub async fn send(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
-    until: Deadlines,
+    deadlines: Deadlines,
 ) -> Result<(Response<Incoming>, ConnectionGuard), Error> {
-    let stream = connect(address, until.connect.min(until.response)).await?;
+    let stream = connect(address, deadlines.connect.min(deadlines.response)).await?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
         .map_err(|error| Error::NotSent(error.to_string()))?;
@@ -74,56 +74,60 @@
         }
     });
     let guard = ConnectionGuard(task.abort_handle());
-    let answer = time::timeout_at(until.response.into(), sender.send_request(request)).await;
-    match answer {
-        Ok(Ok(answer)) => Ok((answer, guard)),
+    let response = time::timeout_at(deadlines.response.into(), sender.send_request(request)).await;
+    match response {
+        Ok(Ok(response)) => Ok((response, guard)),
         Ok(Err(error)) => Err(Error::Lost(error.to_string())),
         Err(_) => Err(Error::Timeout),
     }
 }
 
-/// Reads the body of an answer for as long as its bytes come, at most `most` of them, and each within `stall` of the one before.
-/// A time for the whole of it would throw away what a slow link has brought, and bring it again.
-pub async fn read_body(body: Incoming, most: usize, stall: Duration) -> Result<Bytes, Error> {
-    let mut body = Limited::new(body, most);
-    let mut whole = BytesMut::new();
+/// Reads the body of a response, at most `max_bytes` of it. Fails if no data arrives for `stall_timeout`. There is no timeout
+/// for the body as a whole, because on a slow link a retry would transfer the same data again.
+pub async fn read_body(
+    body: Incoming,
+    max_bytes: usize,
+    stall_timeout: Duration,
+) -> Result<Bytes, Error> {
+    let mut body = Limited::new(body, max_bytes);
+    let mut collected = BytesMut::new();
     loop {
-        let frame = match time::timeout(stall, body.frame()).await {
+        let frame = match time::timeout(stall_timeout, body.frame()).await {
             Ok(Some(Ok(frame))) => frame,
             Ok(Some(Err(error))) => return Err(Error::Lost(error.to_string())),
-            Ok(None) => return Ok(whole.freeze()),
+            Ok(None) => return Ok(collected.freeze()),
             Err(_) => return Err(Error::Timeout),
         };
         if let Ok(data) = frame.into_data() {
-            whole.extend_from_slice(&data);
+            collected.extend_from_slice(&data);
         }
     }
 }
 
-async fn connect(address: SocketAddr, until: Instant) -> Result<TcpStream, Error> {
-    let connected = time::timeout_at(until.into(), TcpStream::connect(address)).await;
+async fn connect(address: SocketAddr, deadline: Instant) -> Result<TcpStream, Error> {
+    let connected = time::timeout_at(deadline.into(), TcpStream::connect(address)).await;
     let stream = match connected {
         Ok(Ok(stream)) => stream,
         Ok(Err(error)) => return Err(Error::NotSent(error.to_string())),
-        Err(_) => return Err(Error::NotSent("no answer to the connect".to_owned())),
+        Err(_) => return Err(Error::NotSent("connect timed out".to_owned())),
     };
-    tune(&stream);
+    set_socket_options(&stream);
     Ok(stream)
 }
 
-/// What a look at an address found.
+/// Outcome of a probe of an address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeOutcome {
-    /// Somebody listens there.
+    /// A process accepted the connection.
     Listening,
-    /// Nobody does: the process there has ended.
+    /// The connection was refused: no process listens at the address.
     Refused,
-    /// There is no answer: it may be cut off, or without power.
+    /// The host did not respond: it may be unreachable or without power.
     Unresponsive,
 }
 
 impl ProbeOutcome {
-    /// The name for logs and metrics.
+    /// Returns the name for logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Listening => "listening",
@@ -133,22 +137,22 @@
     }
 }
 
-/// Looks whether somebody listens at an address, by a connection that carries nothing.
-pub async fn probe(address: SocketAddr, patience: Duration) -> ProbeOutcome {
-    match time::timeout(patience, TcpStream::connect(address)).await {
+/// Probes whether a process listens at an address, by opening a connection and closing it.
+pub async fn probe(address: SocketAddr, timeout: Duration) -> ProbeOutcome {
+    match time::timeout(timeout, TcpStream::connect(address)).await {
         Ok(Ok(_)) => ProbeOutcome::Listening,
         Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => ProbeOutcome::Refused,
         Ok(Err(_)) | Err(_) => ProbeOutcome::Unresponsive,
     }
 }
 
-/// Sets what both sides of the process want of a connection.
-pub fn tune(stream: &TcpStream) {
+/// Sets the socket options of accepted and outgoing connections.
+pub fn set_socket_options(stream: &TcpStream) {
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!(error:%; "connection without TCP_NODELAY");
+        log::debug!(error:%; "failed to set TCP_NODELAY");
     }
     let timeout = SockRef::from(stream).set_tcp_user_timeout(Some(USER_TIMEOUT));
     if let Err(error) = timeout {
-        log::debug!(error:%; "connection without TCP_USER_TIMEOUT");
+        log::debug!(error:%; "failed to set TCP_USER_TIMEOUT");
     }
 }
--- a/crates/tinbank-gateway/src/identity.rs
+++ b/crates/tinbank-gateway/src/identity.rs
@@ -1,8 +1,8 @@
-//! Numbers that no other process gives.
+//! Random identifiers.
 
 use rand::Rng;
 
-/// A number that differs between processes and between starts of one process.
+/// Returns a random number, which differs between processes and between starts of one process.
 pub(crate) fn random_id() -> u64 {
     rand::rng().random()
 }
--- a/crates/tinbank-gateway/src/lib.rs
+++ b/crates/tinbank-gateway/src/lib.rs
@@ -1,7 +1,7 @@
-//! The entry program: relays online requests and runs batch items on one fleet of upstreams.
+//! Entry host: relays online requests and runs batch items on one fleet of upstreams.
 //!
-//! One process does both duties on one control thread, with one view of the configuration, the upstreams and the other
-//! hosts. What the platform looks like is behind the traits in [`border`]. See `docs/design/users-platform.md`.
+//! One process does both on one control thread, with one view of the configuration, the upstreams and the other hosts. The
+//! traits in [`border`] abstract the platform. See `docs/design/users-platform.md`.
 
 pub mod access;
 mod batch;
--- a/crates/tinbank-gateway/src/measure.rs
+++ b/crates/tinbank-gateway/src/measure.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms. `docs/OPERATIONS.md` says what each of them means; labels take few values.
+//! Counters, gauges and histograms. `docs/OPERATIONS.md` documents each of them. Labels have few distinct values.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 use crate::border::ingress::Reply;
 
-/// A request for a route was answered by the system itself, without an upstream's answer.
+/// Records a reply that this host generated itself, without an upstream's response.
 pub(crate) fn record_reply(reply: &Reply) {
     let reply = match reply {
         Reply::Accepted => "accepted",
@@ -29,23 +29,23 @@
     metrics::counter!("tinbank_entry_replies_total", "reply" => reply).increment(1);
 }
 
-/// The head of an upstream's answer is on its way to the caller.
+/// Records how long a caller waited for the head of the upstream's response.
 pub(crate) fn record_response_start(waited: Duration) {
     metrics::histogram!("tinbank_entry_first_answer_seconds").record(waited);
 }
 
-/// A stream was broken, and goes on elsewhere or not.
+/// Records a broken stream, by whether it can be resumed at another upstream.
 pub(crate) fn record_broken_stream(resumable: bool) {
     let resumable = if resumable { "yes" } else { "no" };
     metrics::counter!("tinbank_entry_broken_streams_total", "resumable" => resumable).increment(1);
 }
 
-/// An attempt at an upstream gave no answer.
+/// Records an attempt that got no usable response from its upstream.
 pub(crate) fn record_failed_attempt(why: &'static str) {
     metrics::counter!("tinbank_entry_failed_attempts_total", "why" => why).increment(1);
 }
 
-/// An allocator was asked for a slot, and gave its first verdict or none in time.
+/// Records a slot request, with the allocator's first verdict or `None` if it did not respond in time.
 pub(crate) fn record_slot_request(class: Class, verdict: Option<&Verdict>, took: Duration) {
     let class = if class.is_batch() { "batch" } else { "online" };
     let answer = match verdict {
@@ -60,27 +60,27 @@
     metrics::histogram!("tinbank_entry_ask_seconds").record(took);
 }
 
-/// An upstream broke off a connection, and a look at its address found something.
+/// Records that an upstream broke a connection, with the outcome of the probe that followed.
 pub(crate) fn record_broken_connection(found: &'static str) {
     metrics::counter!("tinbank_entry_broken_upstreams_total", "found" => found).increment(1);
 }
 
-/// So many requests are held back, because upstreams end under them.
+/// Sets the number of quarantined requests.
 pub(crate) fn set_quarantined_requests(requests: usize) {
     metrics::gauge!("tinbank_entry_held_requests").set(requests as f64);
 }
 
-/// The upstreams of so many failure domains get nothing new.
+/// Sets the number of evacuated failure domains.
 pub(crate) fn set_evacuated_failure_domains(failure_domains: usize) {
     metrics::gauge!("tinbank_entry_evacuated_failure_domains").set(failure_domains as f64);
 }
 
-/// A batch item left its upstream.
+/// Records the end of a run of a batch item at an upstream.
 pub(crate) fn record_item_run(ended: &'static str) {
     metrics::counter!("tinbank_entry_item_runs_total", "ended" => ended).increment(1);
 }
 
-/// A list or log at the store was lost, or regained.
+/// Sets whether a list or log of the store is reachable.
 pub(crate) fn set_store_reachable(what: &'static str, reached: bool) {
     let value = if reached { 1.0 } else { 0.0 };
     metrics::gauge!("tinbank_entry_store_reached", "what" => what).set(value);
--- a/crates/tinbank-gateway/src/node.rs
+++ b/crates/tinbank-gateway/src/node.rs
@@ -1,4 +1,4 @@
-//! The state that all duties of the process share.
+//! State shared by all tasks of the process.
 
 use std::{
     cell::{Cell, RefCell},
@@ -13,7 +13,7 @@
 use crate::{
     batch::Batch,
     border::{engine::Engine, ingress::Ingress, store::Store},
-    clock::{Clock, ClockReading, Pauses},
+    clock::{ClockReading, PauseCount, PauseDetector},
     feed::Feed,
     quarantine::Quarantine,
     retry::Retry,
@@ -21,10 +21,10 @@
     sharing::Sharing,
     stop::Stop,
     view::View,
-    watch::Watched,
+    watch::WatchedStore,
 };
 
-/// One process. Everything in it belongs to its one control thread.
+/// State of one process, owned by its control thread.
 pub(crate) struct Node {
     pub settings: Settings,
     pub store: Rc<dyn Store>,
@@ -35,25 +35,25 @@
     pub feed: Feed,
     pub retry: Rc<Retry>,
     pub quarantine: Quarantine,
-    pub clock: Rc<Clock>,
+    pub clock: Rc<PauseDetector>,
     pub batch: Batch,
     pub stop: Stop,
     draws: Cell<u64>,
-    /// What was learned of routes, by their names.
-    learned: RefCell<HashMap<String, Learned>>,
+    /// Statistics of routes, by route name.
+    route_stats: RefCell<HashMap<String, RouteStats>>,
 }
 
-/// What was learned of a route.
+/// Statistics measured on a route.
 #[derive(Clone, Copy, Debug, Default)]
-struct Learned {
-    /// How long callers wait.
+struct RouteStats {
+    /// How long callers wait for a response.
     patience: Patience,
     first_event: Pace,
     held: Pace,
 }
 
 impl Node {
-    /// A node that knows nothing yet.
+    /// Creates a node that has read nothing from the store yet.
     pub fn new(
         settings: Settings,
         store: Rc<dyn Store>,
@@ -62,8 +62,8 @@
         sharing: Rc<Sharing>,
     ) -> Self {
         let retry = Rc::new(Retry::default());
-        let clock = Rc::new(Clock::new(ClockReading::read()));
-        let watched = Watched::new(store, Rc::clone(&retry), Rc::clone(&clock));
+        let clock = Rc::new(PauseDetector::new(ClockReading::read()));
+        let watched = WatchedStore::new(store, Rc::clone(&retry), Rc::clone(&clock));
         Self {
             feed: Feed::default(),
             quarantine: Quarantine::default(),
@@ -78,73 +78,73 @@
             sharing,
             stop: Stop::default(),
             draws: Cell::new(crate::identity::random_id()),
-            learned: RefCell::default(),
+            route_stats: RefCell::default(),
         }
     }
 
-    /// Trusts nothing that was known before a pause of the process. It is asked where a call comes in and before anything is
-    /// sent, so that nothing happens between the end of a pause and the next tick. How many pauses there were so far.
-    pub fn check_for_pause(&self) -> Pauses {
+    /// Invalidates all cached state if the process was paused, and returns the number of pauses so far. It is called for each
+    /// incoming call and before each send, because the periodic check may come too late.
+    pub fn check_for_pause(&self) -> PauseCount {
         let now = ClockReading::read();
-        let pauses = self.clock.look(now);
+        let pauses = self.clock.check(now);
         let Some(pause) = self.clock.take_pause() else {
             return pauses;
         };
-        log::warn!(pause_ms = pause.as_millis() as u64; "process was paused, reading everything again");
+        log::warn!(pause_ms = pause.as_millis() as u64; "process was paused, reading all state again");
         self.view.distrust();
         self.batch.distrust();
         self.sharing.forget(now.monotonic);
         pauses
     }
 
-    /// Deals out the upstreams of the own failure domain as they are known now.
+    /// Passes the current upstreams of the own failure domain to the allocator of this host.
     pub fn update_allocator(&self) {
-        let dealt = self
+        let upstreams = self
             .view
             .dealt(&self.settings.failure_domain, Instant::now());
-        self.sharing.list(dealt);
+        self.sharing.list(upstreams);
     }
 
-    /// The next number of a sequence that draws services by their weights evenly.
+    /// Returns the next number of the sequence by which services are selected in proportion to their weights.
     pub fn next_draw(&self) -> u64 {
         let next = self.draws.get().wrapping_add(1);
         self.draws.set(next);
         next
     }
 
-    /// True if a request with so much time left is likely its caller's first try.
+    /// Returns whether a request with this time left is likely its caller's first attempt.
     pub fn is_first_try(&self, route: &Route, time_left: Duration) -> bool {
-        self.learn(route, |it| it.patience.is_first(time_left, route.timeout))
+        self.with_stats(route, |it| it.patience.is_first(time_left, route.timeout))
     }
 
-    /// What is usual on a route.
+    /// Returns the usual durations on a route.
     pub fn usual(&self, route: &Route) -> Usual {
-        self.learn(route, |it| Usual {
+        self.with_stats(route, |it| Usual {
             first_event: it.first_event.measured(),
             held: it.held.measured(),
         })
     }
 
-    /// The first event of an answer came so long after its request was sent.
+    /// Records the time from sending a request to the first event of its response.
     pub fn record_first_event(&self, route: &Route, after: Duration) {
-        self.learn(route, |it| it.first_event.note(after));
+        self.with_stats(route, |it| it.first_event.note(after));
     }
 
-    /// A request that was served has held its slot for so long.
+    /// Records how long a completed request held its slot.
     pub fn record_hold_time(&self, route: &Route, time: Duration) {
-        self.learn(route, |it| it.held.note(time));
+        self.with_stats(route, |it| it.held.note(time));
     }
 
-    fn learn<T>(&self, route: &Route, learn: impl FnOnce(&mut Learned) -> T) -> T {
-        let mut learned = self.learned.borrow_mut();
-        if let Some(of_route) = learned.get_mut(&route.name) {
-            return learn(of_route);
+    fn with_stats<T>(&self, route: &Route, apply: impl FnOnce(&mut RouteStats) -> T) -> T {
+        let mut route_stats = self.route_stats.borrow_mut();
+        if let Some(stats) = route_stats.get_mut(&route.name) {
+            return apply(stats);
         }
-        learn(learned.entry(route.name.clone()).or_default())
+        apply(route_stats.entry(route.name.clone()).or_default())
     }
 
-    /// True if the process can take requests: it knows the configuration and the upstreams, and the jobs if they are for it
-    /// to know. A host that is no delegate passes calls about jobs on.
+    /// Returns whether the process can take requests: it has read the configuration and the upstreams, and the jobs if it is
+    /// a delegate. Other hosts forward calls about jobs.
     pub fn is_ready(&self) -> bool {
         let knows_jobs = self.batch.is_known() || !self.feed.is_delegate();
         self.view.is_known() && knows_jobs && !self.stop.is_stopping()
--- a/crates/tinbank-gateway/src/retry.rs
+++ b/crates/tinbank-gateway/src/retry.rs
@@ -1,4 +1,4 @@
-//! The pauses between calls at the store that failed, for the whole process.
+//! Backoff between failed calls to the store, shared by the whole process.
 
 use std::{
     cell::RefCell,
@@ -9,34 +9,34 @@
 use tinbank_feed::Backoff;
 use tokio::{sync::Notify, time};
 
-/// Most of the pause that is left once another call was answered. Without it a call that fails alone while others are
-/// answered would be made again at once, each time.
-const AFTER_ANSWER: Duration = Duration::from_millis(150);
+/// Longest delay after another call succeeded. Without it a call that keeps failing while others succeed would be retried
+/// immediately each time.
+const MAX_DELAY_AFTER_SUCCESS: Duration = Duration::from_millis(150);
 
-/// Calls that failed wait here before they are made again. The first one that is answered ends the pauses of all.
+/// Backoff that all failed calls share. The first call that succeeds ends the backoff of all others.
 #[derive(Debug, Default)]
 pub(crate) struct Retry {
     backoff: RefCell<Backoff>,
-    answered: Notify,
+    succeeded: Notify,
 }
 
 impl Retry {
-    /// The store has answered a call.
-    pub fn answered(&self) {
+    /// Records that the store answered a call.
+    pub fn record_success(&self) {
         self.backoff.borrow_mut().succeeded();
-        self.answered.notify_waiters();
+        self.succeeded.notify_waiters();
     }
 
-    /// Pauses after a call that failed.
+    /// Waits after a failed call until it may be retried.
     pub async fn backoff(&self) {
         let mut draw = rand::rng();
         let until = self.backoff.borrow_mut().failed(Instant::now(), &mut draw);
-        if time::timeout_at(until.into(), self.answered.notified())
+        if time::timeout_at(until.into(), self.succeeded.notified())
             .await
             .is_ok()
         {
-            let rest = draw.random_range(Duration::ZERO..=AFTER_ANSWER);
-            time::sleep(rest).await;
+            let delay = draw.random_range(Duration::ZERO..=MAX_DELAY_AFTER_SUCCESS);
+            time::sleep(delay).await;
         }
     }
 }
--- a/crates/tinbank-gateway/src/run.rs
+++ b/crates/tinbank-gateway/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts the process and runs it until it is told to stop.
+//! Starts the process and runs it until it is asked to stop.
 
 use std::{
     net::SocketAddr,
@@ -18,11 +18,11 @@
     batch,
     border::{
         engine::Engine,
+        full_body,
         ingress::Ingress,
         store::{List, Store},
-        full_body,
     },
-    clock::TICK,
+    clock::CHECK_INTERVAL,
     feed, identity,
     node::Node,
     quarantine, serve,
@@ -31,41 +31,41 @@
     view,
 };
 
-/// How long a call to register the host may take.
+/// How long a call to register or unregister the host may take.
 const REGISTER_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a host that starts waits for the list of hosts before it registers. One that is listed already does not write:
-/// each entry is read by all delegates.
-const FIRST_LIST: Duration = Duration::from_secs(3);
+/// How long a starting host waits for the list of hosts before it registers. A host that is listed already does not write,
+/// because all delegates read each entry.
+const HOST_LIST_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The process can't start.
+/// Why the process can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// An address can't be listened at.
+    /// A socket can't be bound to its address.
     #[error("can't listen at {address} for {what}: {source}")]
     Listen {
         /// What the address is for.
         what: &'static str,
         /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// The platform as the process sees it.
+/// Implementations of the traits that abstract the platform.
 pub struct Platform {
-    /// Its store.
+    /// The store.
     pub store: Rc<dyn Store>,
-    /// Calls of callers.
+    /// Codec for calls of callers.
     pub ingress: Rc<dyn Ingress>,
-    /// Requests to upstreams.
+    /// Codec for requests to upstreams.
     pub engine: Rc<dyn Engine>,
 }
 
-/// Renders the metrics of the process.
+/// Function that renders the metrics of the process.
 pub type Metrics = Rc<dyn Fn() -> String>;
 
-/// Runs the process from now until `stop` is ready and its work is done.
+/// Runs the process until `stop` resolves and its work is done.
 pub async fn run(
     settings: Settings,
     platform: Platform,
@@ -74,11 +74,11 @@
 ) -> Result<(), Error> {
     let tasks = LocalSet::new();
     tasks
-        .run_until(serve(settings, platform, metrics, stop))
+        .run_until(run_node(settings, platform, metrics, stop))
         .await
 }
 
-async fn serve(
+async fn run_node(
     settings: Settings,
     platform: Platform,
     metrics: Metrics,
@@ -90,7 +90,7 @@
     if let Some(address) = listen.metrics {
         let listener = bind("metrics", address).await?;
         let render = move || Response::new(full_body(metrics()));
-        task::spawn_local(serve::always(listener, Rc::new(render)));
+        task::spawn_local(serve::serve_endpoint(listener, Rc::new(render)));
     }
     let own = Peer {
         address: listen.peers,
@@ -113,20 +113,20 @@
     } = platform;
     let node = Node::new(settings, store, ingress, engine, Rc::new(sharing));
     let node = Rc::new(node);
-    start(&node, callers, readiness);
+    spawn_tasks(&node, callers, readiness);
     task::spawn_local(feed::serve(Rc::clone(&node), followers));
     stop.await;
-    let left = task::spawn_local({
+    let leave = task::spawn_local({
         let node = Rc::clone(&node);
-        let work = crate::stop::work(&node);
+        let work = crate::stop::track_work(&node);
         async move {
             let _work = work;
             batch::leave(&node).await;
             unregister(&node).await;
         }
     });
-    crate::stop::stop(Rc::clone(&node)).await;
-    left.abort();
+    crate::stop::shut_down(Rc::clone(&node)).await;
+    leave.abort();
     Ok(())
 }
 
@@ -139,14 +139,14 @@
     })
 }
 
-fn start(node: &Rc<Node>, callers: TcpListener, readiness: TcpListener) {
-    task::spawn_local(serve::callers(Rc::clone(node), callers));
+fn spawn_tasks(node: &Rc<Node>, callers: TcpListener, readiness: TcpListener) {
+    task::spawn_local(serve::serve_callers(Rc::clone(node), callers));
     let checked = Rc::clone(node);
-    let is_ready = move || serve::readiness(&checked);
-    task::spawn_local(serve::always(readiness, Rc::new(is_ready)));
-    let told = Rc::clone(node);
-    let news = move |from, news| quarantine::told(&told, from, news);
-    task::spawn_local(sharing::receive(Rc::clone(&node.sharing), news));
+    let respond = move || serve::readiness_response(&checked);
+    task::spawn_local(serve::serve_endpoint(readiness, Rc::new(respond)));
+    let receiver = Rc::clone(node);
+    let on_update = move |from, update| quarantine::told(&receiver, from, update);
+    task::spawn_local(sharing::receive(Rc::clone(&node.sharing), on_update));
     task::spawn_local(sharing::heartbeat(Rc::clone(node)));
     task::spawn_local(sharing::tell_counts(Rc::clone(&node.sharing)));
     task::spawn_local(feed::follow(Rc::clone(node)));
@@ -158,15 +158,15 @@
     task::spawn_local(quarantine::keep(Rc::clone(node)));
     task::spawn_local(quarantine::tell(Rc::clone(node)));
     batch::start(node);
-    task::spawn_local(register(Rc::clone(node)));
-    task::spawn_local(watch(Rc::clone(node)));
+    task::spawn_local(keep_registered(Rc::clone(node)));
+    task::spawn_local(check_for_pauses(Rc::clone(node)));
 }
 
-/// Registers the host, so that others ask it for slots, and again if its entry is taken off the list: when a host stops, the
-/// store may do what it asked for seconds later, when the host has already started again.
-async fn register(node: Rc<Node>) {
+/// Registers the host, so that others request slots from it, and registers it again whenever its entry disappears: the store
+/// may apply the unregister call of an earlier start seconds late, after the host has restarted.
+async fn keep_registered(node: Rc<Node>) {
     node.view
-        .hosts_once_known(Instant::now() + FIRST_LIST)
+        .hosts_once_known(Instant::now() + HOST_LIST_TIMEOUT)
         .await;
     while !node.stop.is_stopping() {
         if node.view.is_listed(node.sharing.own()) {
@@ -183,7 +183,7 @@
                     .await
             }
             Err(error) => {
-                log::info!(error:%; "host not registered yet");
+                log::info!(error:%; "host not registered; retrying");
                 node.retry.backoff().await;
             }
         }
@@ -194,13 +194,15 @@
     let until = Instant::now() + REGISTER_TIMEOUT;
     match node.store.unregister(node.sharing.own(), until).await {
         Ok(()) => log::info!("host unregistered"),
-        Err(error) => log::warn!(error:%; "host not unregistered, others will find it silent"),
+        Err(error) => {
+            log::warn!(error:%; "host not unregistered; others will find it unresponsive")
+        }
     }
 }
 
-/// Looks for pauses of the process while nothing else does.
-async fn watch(node: Rc<Node>) {
-    let mut ticks = time::interval(TICK);
+/// Checks periodically whether the process was paused.
+async fn check_for_pauses(node: Rc<Node>) {
+    let mut ticks = time::interval(CHECK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
--- a/crates/tinbank-gateway/src/serve.rs
+++ b/crates/tinbank-gateway/src/serve.rs
@@ -1,4 +1,4 @@
-//! Accepts connections of callers and of the balancer's readiness checks.
+//! Accepts connections of callers and of the load balancer's readiness checks.
 
 use std::{convert::Infallible, net::SocketAddr, pin::pin, rc::Rc, time::Duration};
 
@@ -20,40 +20,40 @@
     },
     border::{
         Body,
-        ingress::{AboutJob, Call, JobCall, Reply},
+        ingress::{Call, JobCall, JobOperation, Reply},
     },
     exchange, measure,
     node::Node,
     relay,
 };
 
-/// Pause after a failed accept, which is a lack of descriptors mostly.
-const ACCEPT_RETRY: Duration = Duration::from_millis(20);
-/// Head timeout before the configuration is known. Source: a usual setting of deployments.
-const HEAD_TIMEOUT: Duration = Duration::from_secs(3);
-/// Largest head before the configuration is known, in bytes; the least that the library takes.
-const HEAD_BYTES: usize = 16 << 10;
+/// Delay after a failed accept, which is mostly due to a lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Timeout for the head of a request before the configuration is known.
+const DEFAULT_HEAD_TIMEOUT: Duration = Duration::from_secs(3);
+/// Largest head of a request before the configuration is known, in bytes. Lower limits in the configuration are raised to it.
+const MIN_HEAD_BYTES: usize = 16 << 10;
 
 /// Serves callers until the process takes no new requests.
-pub(crate) async fn callers(node: Rc<Node>, listener: TcpListener) {
-    let accepted = accept(listener, |stream, peer| {
-        task::spawn_local(connection(Rc::clone(&node), stream, peer));
+pub(crate) async fn serve_callers(node: Rc<Node>, listener: TcpListener) {
+    let accepting = accept(listener, |stream, peer| {
+        task::spawn_local(serve_connection(Rc::clone(&node), stream, peer));
     });
-    // With the listener gone, a caller that comes late is turned away before it has sent anything.
+    // Dropping the listener makes later connects fail, so that those callers know that nothing was sent.
     tokio::select! {
-        () = accepted => {}
-        () = node.stop.closing() => {}
+        () = accepting => {}
+        () = node.stop.wait_until_closing() => {}
     }
 }
 
-/// Answers each request with what a function gives, whatever is asked, for as long as the process runs.
-pub(crate) async fn always(listener: TcpListener, answer: Rc<dyn Fn() -> Response<Body>>) {
+/// Answers every request with the response that a function returns, for as long as the process runs.
+pub(crate) async fn serve_endpoint(listener: TcpListener, respond: Rc<dyn Fn() -> Response<Body>>) {
     accept(listener, |stream, peer| {
-        let answer = Rc::clone(&answer);
+        let respond = Rc::clone(&respond);
         task::spawn_local(async move {
             let service = service_fn(|_| {
-                let answer = answer();
-                async move { Ok::<_, Infallible>(answer) }
+                let response = respond();
+                async move { Ok::<_, Infallible>(response) }
             });
             let served = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
@@ -66,8 +66,8 @@
     .await;
 }
 
-/// The answer to a readiness check.
-pub(crate) fn readiness(node: &Node) -> Response<Body> {
+/// Returns the response to a readiness check.
+pub(crate) fn readiness_response(node: &Node) -> Response<Body> {
     let reply = match node.is_ready() {
         true => Reply::Ready,
         false => Reply::NotReady,
@@ -80,22 +80,24 @@
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
-                exchange::tune(&stream);
+                exchange::set_socket_options(&stream);
                 serve(stream, peer);
             }
             Err(error) => {
                 log::warn!(error:%; "connection not accepted");
-                time::sleep(ACCEPT_RETRY).await;
+                time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn connection(node: Rc<Node>, stream: TcpStream, peer: SocketAddr) {
+async fn serve_connection(node: Rc<Node>, stream: TcpStream, peer: SocketAddr) {
     let limits = node.view.config().map(|config| config.limits);
-    let head_bytes = limits.map_or(HEAD_BYTES, |it| it.head_bytes.max(HEAD_BYTES));
-    let head_timeout = limits.map_or(HEAD_TIMEOUT, |it| it.head_timeout.max(it.idle_timeout));
-    let service = service_fn(|request| serve(Rc::clone(&node), request));
+    let head_bytes = limits.map_or(MIN_HEAD_BYTES, |it| it.head_bytes.max(MIN_HEAD_BYTES));
+    let head_timeout = limits.map_or(DEFAULT_HEAD_TIMEOUT, |it| {
+        it.head_timeout.max(it.idle_timeout)
+    });
+    let service = service_fn(|request| serve_request(Rc::clone(&node), request));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(head_timeout)
@@ -104,7 +106,7 @@
     let mut connection = pin!(connection);
     let ended = tokio::select! {
         ended = connection.as_mut() => ended,
-        () = node.stop.closing() => {
+        () = node.stop.wait_until_closing() => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
@@ -114,17 +116,20 @@
     }
 }
 
-async fn serve(node: Rc<Node>, request: Request<Incoming>) -> Result<Response<Body>, Infallible> {
-    let work = crate::stop::work(&node);
-    let mut answer = answer(&node, request).await;
+async fn serve_request(
+    node: Rc<Node>,
+    request: Request<Incoming>,
+) -> Result<Response<Body>, Infallible> {
+    let work = crate::stop::track_work(&node);
+    let mut response = respond(&node, request).await;
     if node.stop.is_stopping() {
         let close = HeaderValue::from_static("close");
-        answer.headers_mut().insert(header::CONNECTION, close);
+        response.headers_mut().insert(header::CONNECTION, close);
     }
-    Ok(answer.map(|body| relay::hold(body, work)))
+    Ok(response.map(|body| relay::hold(body, work)))
 }
 
-async fn answer(node: &Rc<Node>, request: Request<Incoming>) -> Response<Body> {
+async fn respond(node: &Rc<Node>, request: Request<Incoming>) -> Response<Body> {
     let (head, body) = request.into_parts();
     let call = match node.ingress.decode(&head) {
         Ok(call) => call,
@@ -133,29 +138,30 @@
             return node.ingress.encode(Reply::Malformed(malformed));
         }
     };
-    let about = match call {
+    let call = match call {
         Call::Request(call) => return relay::request(node, call, head, body).await,
-        Call::Job(about) => about,
+        Call::Job(call) => call,
     };
     node.check_for_pause();
-    let reply = about_job(node, &about).await;
+    let reply = job_reply(node, &call).await;
     if reply == Reply::Unsure
-        && let Forwarded::Answered(answer) =
-            forward(node, &about.job, &head, Bytes::new(), about.wait()).await
+        && let Forwarded::Answered(response) =
+            forward(node, &call.job, &head, Bytes::new(), call.wait()).await
     {
-        return answer;
+        return response;
     }
     measure::record_reply(&reply);
     node.ingress.encode(reply)
 }
 
-/// The answer of this host about a job, if it can tell. A job of another customer is as good as none.
-async fn about_job(node: &Node, about: &AboutJob) -> Reply {
+/// Returns this host's reply to a call about a job, or `Reply::Unsure` if another host may know better. A job of another
+/// customer counts as not found.
+async fn job_reply(node: &Node, call: &JobCall) -> Reply {
     let Some(config) = node.view.config() else {
         return Reply::Unsure;
     };
-    let is_open = config.has_open_jobs(&about.host);
-    let caller = match access::authenticate(node, &config, &about.job, about.key.as_ref(), is_open) {
+    let is_open = config.has_open_jobs(&call.host);
+    let caller = match access::authenticate(node, &config, &call.job, call.key.as_ref(), is_open) {
         Ok(caller) => caller,
         Err(AuthError::Unauthorized) => return Reply::NoKey,
         Err(AuthError::StaleConfig) => return Reply::Unsure,
@@ -163,10 +169,12 @@
     if !node.feed.is_delegate() {
         return Reply::Unsure;
     }
-    let job = scope::job_id(caller.name().map(String::as_str), &about.job);
-    match &about.call {
-        JobCall::Results { from, wait } => batch::results::page(node, &job, *from, *wait).await,
-        JobCall::Body { item } => batch::results::body(node, &job, item).await,
-        JobCall::End => batch::intake::end(node, job).await,
+    let job = scope::job_id(caller.name().map(String::as_str), &call.job);
+    match &call.operation {
+        JobOperation::Results { from, wait } => {
+            batch::results::page(node, &job, *from, *wait).await
+        }
+        JobOperation::Body { item } => batch::results::body(node, &job, item).await,
+        JobOperation::Cancel => batch::intake::end(node, job).await,
     }
 }
--- a/crates/tinbank-gateway/src/settings.rs
+++ b/crates/tinbank-gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a process is told about itself when it starts.
+//! Settings of a process, read at startup.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,47 +13,47 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Name of the host, for logs and as the member name in the platform's groups.
+    /// Name of the host in logs, and its member name in the consumer groups of the store.
     pub host: String,
-    /// Failure domain that the host is in.
+    /// Failure domain of the host.
     pub failure_domain: id::FailureDomain,
     /// Addresses to listen at.
     pub listen: Listen,
-    /// What the host has of its own, by which work is dealt out; equal shares without it.
+    /// Resources of the host, by which work is distributed. Without it all hosts get equal shares.
     #[serde_as(as = "FromInto<Resources>")]
     #[serde(default)]
     pub capacity: Capacity,
     /// The platform's store.
     pub store: Store,
-    /// After a request to stop, the time until the process is killed, in seconds.
+    /// Time from the request to stop until the process is killed.
     #[serde_as(as = "DurationSeconds<f64>")]
     #[serde(rename = "grace_s")]
     pub grace: Duration,
-    /// After a request to stop, the time for which new requests are still taken, because the balancer has not noticed
-    /// yet, in seconds. Source: two readiness checks of the balancer, a second apart, and their answers.
+    /// How long the process still takes new requests after the request to stop, until the load balancer has noticed that it
+    /// is not ready.
     #[serde_as(as = "DurationSeconds<f64>")]
     #[serde(rename = "balancer_s")]
     pub balancer_delay: Duration,
-    /// How exactly limits of customers hold; without it, as exactly as hosts know of each other's counts.
+    /// By how much customers may exceed their limits. Without it limits hold as exactly as the hosts know each other's counts.
     #[serde(default)]
     pub allowance: Tolerance,
-    /// For how long a job is readable after its submission, in seconds.
+    /// How long a job can be read after its submission.
     #[serde_as(as = "DurationSeconds<f64>")]
     #[serde(rename = "job_readable_s")]
     pub job_retention: Duration,
 }
 
-/// What a host has, in the units of its settings.
+/// Resources of a host, in the units of the settings.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Resources {
     /// Share of a core that the process gets.
     cpu_share: f64,
-    /// How many times as fast as usual the core is.
+    /// Speed of that core, relative to the usual one.
     cpu_cores: f64,
     /// Memory in megabytes.
     memory_mb: f64,
-    /// Bandwidth of its link in megabits a second.
+    /// Network bandwidth in megabits per second.
     link_mbps: f64,
 }
 
@@ -71,13 +71,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
-    /// Callers' requests, online and batch.
+    /// Requests of callers, online and batch.
     pub callers: SocketAddr,
     /// Readiness checks.
     pub readiness: SocketAddr,
-    /// Datagrams of other hosts, and connections of those that follow this one.
+    /// Datagrams of other hosts, and connections of hosts that follow this one.
     pub peers: SocketAddr,
-    /// Metrics, in the Prometheus text form; not served without it.
+    /// Metrics in the Prometheus text format. Without it no metrics are served.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
 }
@@ -87,15 +87,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Store {
-    /// Where it listens.
+    /// Address of the store.
     pub address: SocketAddr,
-    /// Partitions of each topic.
+    /// Number of partitions of each topic.
     pub partitions: u32,
     /// Largest record in bytes.
     pub record_bytes: usize,
     /// Largest append in bytes.
     pub call_bytes: usize,
-    /// Shortest time after which a silent member of a group loses its partitions, in milliseconds.
+    /// Shortest session timeout of group members that the store accepts.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "least_member_ttl_ms")]
     pub min_member_ttl: Duration,
--- a/crates/tinbank-gateway/src/stop.rs
+++ b/crates/tinbank-gateway/src/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop: no request is cut off.
+//! Graceful shutdown: requests in flight are finished.
 
 use std::{
     cell::Cell,
@@ -10,65 +10,65 @@
 
 use crate::node::Node;
 
-/// Time before the process is killed at which it ends by itself.
-const MARGIN: Duration = Duration::from_millis(400);
-/// How often the process looks whether its work is done.
-const LOOK: Duration = Duration::from_millis(50);
+/// How long before the process is killed it exits by itself.
+const EXIT_MARGIN: Duration = Duration::from_millis(400);
+/// How often the shutdown checks whether all work is done.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Whether the process is to stop, and what it still does.
+/// Progress of the shutdown, and the work it waits for.
 #[derive(Default)]
 pub(crate) struct Stop {
-    asked_at: Cell<Option<Instant>>,
-    closing: Cell<bool>,
+    requested_at: Cell<Option<Instant>>,
+    is_closing: Cell<bool>,
     changed: Notify,
-    busy: Cell<usize>,
+    in_flight: Cell<usize>,
 }
 
-/// Work that a stop waits for. It ends when it is dropped.
+/// Guard for work that the shutdown waits for. The work ends when the guard is dropped.
 pub(crate) struct WorkGuard(Rc<Node>);
 
 impl Drop for WorkGuard {
     fn drop(&mut self) {
-        let busy = &self.0.stop.busy;
-        busy.set(busy.get() - 1);
+        let in_flight = &self.0.stop.in_flight;
+        in_flight.set(in_flight.get() - 1);
     }
 }
 
 impl Stop {
-    /// True from the request to stop on.
+    /// Returns whether the process was asked to stop.
     pub fn is_stopping(&self) -> bool {
-        self.asked_at.get().is_some()
+        self.requested_at.get().is_some()
     }
 
-    /// Waits until no new requests are taken any more, and idle connections may be closed.
-    pub async fn closing(&self) {
-        while !self.closing.get() {
+    /// Waits until the process takes no new requests, and idle connections can be closed.
+    pub async fn wait_until_closing(&self) {
+        while !self.is_closing.get() {
             self.changed.notified().await;
         }
     }
 }
 
-/// Marks work that a stop waits for.
-pub(crate) fn work(node: &Rc<Node>) -> WorkGuard {
-    let busy = &node.stop.busy;
-    busy.set(busy.get() + 1);
+/// Registers work that the shutdown waits for.
+pub(crate) fn track_work(node: &Rc<Node>) -> WorkGuard {
+    let in_flight = &node.stop.in_flight;
+    in_flight.set(in_flight.get() + 1);
     WorkGuard(Rc::clone(node))
 }
 
-/// Stops the process: it takes requests until the balancer knows, finishes them, and returns.
-pub(crate) async fn stop(node: Rc<Node>) {
+/// Shuts the process down: takes new requests until the load balancer has noticed, then waits until those in flight are done.
+pub(crate) async fn shut_down(node: Rc<Node>) {
     let now = Instant::now();
     let kill_at = now + node.settings.grace;
-    node.stop.asked_at.set(Some(now));
-    log::info!(busy = node.stop.busy.get(); "stop asked, not ready from now on");
-    let end = kill_at - MARGIN;
-    let balanced = now + node.settings.balancer_delay;
-    time::sleep_until(balanced.min(end).into()).await;
-    node.stop.closing.set(true);
+    node.stop.requested_at.set(Some(now));
+    log::info!(busy = node.stop.in_flight.get(); "stop requested, not ready from now on");
+    let deadline = kill_at - EXIT_MARGIN;
+    let closing_at = now + node.settings.balancer_delay;
+    time::sleep_until(closing_at.min(deadline).into()).await;
+    node.stop.is_closing.set(true);
     node.stop.changed.notify_waiters();
-    log::info!(busy = node.stop.busy.get(); "no new requests are taken");
-    while node.stop.busy.get() > 0 && Instant::now() < end {
-        time::sleep(LOOK).await;
+    log::info!(busy = node.stop.in_flight.get(); "no new requests are taken");
+    while node.stop.in_flight.get() > 0 && Instant::now() < deadline {
+        time::sleep(POLL_INTERVAL).await;
     }
-    log::info!(busy = node.stop.busy.get(); "stopped");
+    log::info!(busy = node.stop.in_flight.get(); "stopped");
 }
--- a/crates/tinbank-gateway/src/watch.rs
+++ b/crates/tinbank-gateway/src/watch.rs
@@ -1,7 +1,7 @@
-//! Gives up calls at the store that it will not answer any more.
+//! Abandons pending calls to the store after an outage.
 //!
-//! A store that was silent answers nothing that came to it meanwhile. Each call would wait for its own timeout, up to two
-//! seconds after the store is back, so the first call that is answered ends the wait of all that were sent before it.
+//! A store that was unresponsive does not answer calls sent during the outage, so each of them would wait for its own timeout,
+//! long after the store has recovered. Instead, the first answer after an outage ends all calls that were sent before.
 
 use std::{
     cell::Cell,
@@ -19,57 +19,55 @@
 
 use crate::{
     border::store::{
-        Assignment, Cursor, Entries, Error, List, Membership, NewestPage, Offset, Page, TopicPartition, Range,
-        Store,
+        Assignment, Cursor, Entries, Error, List, Membership, NewestPage, Offset, Page, Range,
+        Store, TopicPartition,
     },
-    clock::Clock,
+    clock::PauseDetector,
     retry::Retry,
 };
 
-/// The store counts as having been away if no call was answered for this long after one had failed. Source: longer than a
-/// lost packet takes, shorter than any outage that the platform speaks of.
-const AWAY: Duration = Duration::from_millis(400);
+/// How long calls have to fail without a success in between to count as an outage. Longer than the recovery from a lost packet.
+const MIN_OUTAGE: Duration = Duration::from_millis(400);
 
-/// The calls under way, in the order in which they began.
+/// Pending calls, numbered in the order in which they were sent.
 #[derive(Debug, Default)]
-pub struct Watch {
-    began: Cell<u64>,
-    /// Since when calls fail.
+pub struct PendingCalls {
+    last_sent: Cell<u64>,
     failing_since: Cell<Option<Instant>>,
-    /// Calls that began before this one are given up.
-    answered: Cell<u64>,
-    back: Notify,
+    /// Calls with a lower number are abandoned.
+    first_after_outage: Cell<u64>,
+    recovered: Notify,
 }
 
-impl Watch {
-    /// Makes a call, and gives it up once a later one is answered after the store was away. Its effect is unknown then.
+impl PendingCalls {
+    /// Makes a call, and abandons it with an unknown effect if a later call is answered first after an outage.
     pub async fn call<T>(&self, call: impl Future<Output = Result<T, Error>>) -> Result<T, Error> {
-        let number = self.began.get() + 1;
-        self.began.set(number);
+        let number = self.last_sent.get() + 1;
+        self.last_sent.set(number);
         let mut call = pin!(call);
         loop {
-            let back = self.back.notified();
+            let recovered = self.recovered.notified();
             tokio::select! {
-                ended = &mut call => {
-                    self.note(number, &ended);
-                    return ended;
+                outcome = &mut call => {
+                    self.record_outcome(number, &outcome);
+                    return outcome;
                 }
-                () = back => {}
+                () = recovered => {}
             }
-            if number < self.answered.get() {
+            if number < self.first_after_outage.get() {
                 return Err(Error::Unknown(
-                    "given up, later calls are answered".to_owned(),
+                    "call abandoned, store answers later calls after an outage".to_owned(),
                 ));
             }
         }
     }
 
-    fn note<T>(&self, number: u64, ended: &Result<T, Error>) {
-        // A call that is refused is answered, and says nothing of those under way.
-        if let Err(Error::Busy(_)) = ended {
+    fn record_outcome<T>(&self, number: u64, outcome: &Result<T, Error>) {
+        // A refusal is an answer, but does not show that the store has recovered.
+        if let Err(Error::Busy(_)) = outcome {
             return;
         }
-        if let Err(Error::Unknown(_) | Error::NoEffect(_)) = ended {
+        if let Err(Error::Unknown(_) | Error::NoEffect(_)) = outcome {
             let since = self.failing_since.get();
             self.failing_since.set(since.or(Some(Instant::now())));
             return;
@@ -77,59 +75,64 @@
         let Some(since) = self.failing_since.take() else {
             return;
         };
-        if since.elapsed() >= AWAY {
-            log::info!(away_ms = since.elapsed().as_millis() as u64; "store answers again, calls sent before are given up");
-            self.answered.set(number);
-            self.back.notify_waiters();
+        if since.elapsed() >= MIN_OUTAGE {
+            log::info!(away_ms = since.elapsed().as_millis() as u64; "store answers again, abandoning calls sent before");
+            self.first_after_outage.set(number);
+            self.recovered.notify_waiters();
         }
     }
 }
 
-/// What a call has read, unless the process was paused meanwhile.
-pub async fn unpaused<T>(
-    clock: &Clock,
+/// Makes a call whose result is discarded if the process was paused meanwhile.
+pub async fn fail_if_paused<T>(
+    clock: &PauseDetector,
     call: impl Future<Output = Result<T, Error>>,
 ) -> Result<T, Error> {
-    let paused = || Error::Unknown("the process was paused meanwhile".to_owned());
+    let paused = || Error::Unknown("process was paused during the call".to_owned());
     clock.discard_if_paused(call).await.ok_or_else(paused)?
 }
 
-/// A store whose calls are watched.
-pub(crate) struct Watched {
+/// Store that abandons pending calls after an outage and discards results read across a pause.
+pub(crate) struct WatchedStore {
     store: Rc<dyn Store>,
-    watch: Watch,
+    pending: PendingCalls,
     retry: Rc<Retry>,
-    clock: Rc<Clock>,
+    clock: Rc<PauseDetector>,
 }
 
-impl Watched {
-    /// A store whose answers end the pauses of `retry`.
-    pub fn new(store: Rc<dyn Store>, retry: Rc<Retry>, clock: Rc<Clock>) -> Self {
+impl WatchedStore {
+    /// Wraps a store. A successful call ends the backoff of `retry`.
+    pub fn new(store: Rc<dyn Store>, retry: Rc<Retry>, clock: Rc<PauseDetector>) -> Self {
         Self {
             store,
-            watch: Watch::default(),
+            pending: PendingCalls::default(),
             retry,
             clock,
         }
     }
 
     async fn call<T>(&self, call: impl Future<Output = Result<T, Error>>) -> Result<T, Error> {
-        let ended = self.watch.call(call).await;
-        if ended.is_ok() {
-            self.retry.answered();
+        let outcome = self.pending.call(call).await;
+        if outcome.is_ok() {
+            self.retry.record_success();
         }
-        ended
+        outcome
     }
 
-    /// A call whose answer says how things are now.
+    /// Makes a call whose result must be current.
     async fn read_call<T>(&self, call: impl Future<Output = Result<T, Error>>) -> Result<T, Error> {
-        unpaused(&self.clock, self.call(call)).await
+        fail_if_paused(&self.clock, self.call(call)).await
     }
 }
 
 #[async_trait(?Send)]
-impl Store for Watched {
-    async fn append(&self, at: TopicPartition, records: &[Bytes], until: Instant) -> Result<Offset, Error> {
+impl Store for WatchedStore {
+    async fn append(
+        &self,
+        at: TopicPartition,
+        records: &[Bytes],
+        until: Instant,
+    ) -> Result<Offset, Error> {
         self.call(self.store.append(at, records, until)).await
     }
 
@@ -143,7 +146,8 @@
         at: Option<&Cursor>,
         until: Instant,
     ) -> Result<NewestPage, Error> {
-        self.read_call(self.store.read_newest(list, at, until)).await
+        self.read_call(self.store.read_newest(list, at, until))
+            .await
     }
 
     async fn read_since(
--- a/crates/tinbank-gateway/tests/clock.rs
+++ b/crates/tinbank-gateway/tests/clock.rs
@@ -1,4 +1,4 @@
-//! What counts as a pause of the process.
+//! Detection of pauses of the process.
 
 use std::{
     future,
@@ -7,44 +7,44 @@
 };
 
 use tinbank_gateway::{
-    clock::{Clock, ClockReading},
-    watch::unpaused,
+    clock::{ClockReading, PauseDetector},
+    watch::fail_if_paused,
 };
 use yare::parameterized;
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn start() -> ClockReading {
+fn reading() -> ClockReading {
     ClockReading {
         monotonic: Instant::now(),
         since_boot: 1_000 * SECOND,
     }
 }
 
-fn later(than: ClockReading, steady: Duration, since_boot: Duration) -> ClockReading {
+fn advanced(reading: ClockReading, monotonic: Duration, since_boot: Duration) -> ClockReading {
     ClockReading {
-        monotonic: than.monotonic + steady,
-        since_boot: than.since_boot + since_boot,
+        monotonic: reading.monotonic + monotonic,
+        since_boot: reading.since_boot + since_boot,
     }
 }
 
-/// While a host is suspended the steady clock stands. By it alone, everything that is as old as the pause seems to be fresh.
+/// The monotonic clock alone misses the suspension of a host, and stale data would count as fresh.
 #[parameterized(
-    ran = { Duration::from_millis(150), Duration::from_millis(150), None },
+    running = { Duration::from_millis(150), Duration::from_millis(150), None },
     frozen = { 5 * SECOND, 5 * SECOND, Some(5 * SECOND) },
     suspended = { Duration::ZERO, 5 * SECOND, Some(5 * SECOND) },
-    suspended_for_a_moment = { Duration::ZERO, SECOND, None },
+    suspended_below_the_threshold = { Duration::ZERO, SECOND, None },
 )]
-fn a_pause_is_noticed_by_either_clock(
-    steady: Duration,
+fn a_pause_is_detected_on_either_clock(
+    monotonic: Duration,
     since_boot: Duration,
     expected: Option<Duration>,
 ) {
-    let began = start();
-    let clock = Clock::new(began);
-    let before = clock.look(began);
+    let start = reading();
+    let clock = PauseDetector::new(start);
+    let before = clock.check(start);
 
-    let after = clock.look(later(began, steady, since_boot));
+    let after = clock.check(advanced(start, monotonic, since_boot));
 
     assert_eq!(after != before, expected.is_some());
     assert_eq!(clock.take_pause(), expected);
@@ -52,31 +52,31 @@
 }
 
 #[test]
-fn time_that_the_steady_clock_has_not_counted_is_known() {
-    let began = start();
+fn suspended_time_is_what_the_monotonic_clock_missed() {
+    let start = reading();
 
-    let ended = later(began, 2 * SECOND, 7 * SECOND);
+    let end = advanced(start, 2 * SECOND, 7 * SECOND);
 
-    assert_eq!(ended.suspended_since(began), 5 * SECOND);
+    assert_eq!(end.suspended_since(start), 5 * SECOND);
     assert_eq!(
-        later(began, SECOND, SECOND).suspended_since(began),
+        advanced(start, SECOND, SECOND).suspended_since(start),
         Duration::ZERO
     );
 }
 
-/// The answer lay in a buffer while the process did not run, so it is as old as the pause.
+/// A response may have been buffered for the whole pause, so it may be outdated.
 #[tokio::test]
-async fn what_was_read_across_a_pause_is_not_believed() {
-    let clock = Rc::new(Clock::new(ClockReading::read()));
+async fn a_result_read_across_a_pause_is_discarded() {
+    let clock = Rc::new(PauseDetector::new(ClockReading::read()));
     let paused = Rc::clone(&clock);
     let across = async move {
         let now = ClockReading::read();
-        paused.look(later(now, Duration::ZERO, 10 * SECOND));
+        paused.check(advanced(now, Duration::ZERO, 10 * SECOND));
         Ok(7)
     };
 
-    let across = unpaused(&clock, across).await;
-    let after = unpaused(&clock, future::ready(Ok(8))).await;
+    let across = fail_if_paused(&clock, across).await;
+    let after = fail_if_paused(&clock, future::ready(Ok(8))).await;
 
     assert!(across.is_err());
     assert_eq!(after, Ok(8));
--- a/crates/tinbank-gateway/tests/watch.rs
+++ b/crates/tinbank-gateway/tests/watch.rs
@@ -1,62 +1,65 @@
-//! Which calls at the store are given up.
+//! Which pending calls to the store are abandoned after an outage.
 
 use std::{future, time::Duration};
 
-use tinbank_gateway::{border::store::Error, watch::Watch};
+use tinbank_gateway::{border::store::Error, watch::PendingCalls};
 use tokio::time;
 
-fn lost() -> Result<(), Error> {
+fn timed_out() -> Result<(), Error> {
     Err(Error::Unknown("no answer in time".to_owned()))
 }
 
-/// Longer than the time after which a store counts as away.
+/// Longer than the shortest time that counts as an outage.
 const OUTAGE: Duration = Duration::from_millis(500);
 
-/// A call that waits while another one fails, and one is answered after a pause. What came of the first.
-async fn hangs_while_another_recovers(pause: Duration) -> Option<Result<(), Error>> {
-    let watch = Watch::default();
-    let hanging = watch.call(future::pending());
+/// Keeps a call pending while another one fails and a third one succeeds after `delay`. Returns the outcome of the pending call,
+/// if it ended.
+async fn pending_across_failure_and_success(delay: Duration) -> Option<Result<(), Error>> {
+    let calls = PendingCalls::default();
+    let pending = calls.call(future::pending());
     let others = async {
-        let _ = watch.call(future::ready(lost())).await;
-        time::sleep(pause).await;
-        let _ = watch.call(future::ready(Ok(()))).await;
+        let _ = calls.call(future::ready(timed_out())).await;
+        time::sleep(delay).await;
+        let _ = calls.call(future::ready(Ok(()))).await;
         time::sleep(Duration::from_millis(20)).await;
     };
     tokio::select! {
         biased;
-        ended = hanging => Some(ended),
+        outcome = pending => Some(outcome),
         () = others => None,
     }
 }
 
-/// After a silent outage hosts had the configuration and the group back only 1.7 s later, when each
-/// call's own time was up.
+/// Otherwise the call would wait for its own timeout, although the store has recovered.
 #[tokio::test]
-async fn a_call_sent_while_the_store_was_away_is_given_up_when_a_later_one_is_answered() {
-    let ended = hangs_while_another_recovers(OUTAGE).await;
+async fn a_call_sent_during_an_outage_is_abandoned_when_a_later_one_is_answered() {
+    let outcome = pending_across_failure_and_success(OUTAGE).await;
 
-    assert!(matches!(ended, Some(Err(Error::Unknown(_)))), "{ended:?}");
+    assert!(
+        matches!(outcome, Some(Err(Error::Unknown(_)))),
+        "{outcome:?}"
+    );
 }
 
 #[tokio::test]
-async fn one_failure_among_answers_gives_up_nothing() {
-    let ended = hangs_while_another_recovers(Duration::ZERO).await;
+async fn a_single_failure_is_no_outage() {
+    let outcome = pending_across_failure_and_success(Duration::ZERO).await;
 
-    assert_eq!(ended, None);
+    assert_eq!(outcome, None);
 }
 
 #[tokio::test]
-async fn a_call_sent_after_the_store_is_back_waits_for_its_answer() {
-    let watch = Watch::default();
-    let _ = watch.call(future::ready(lost())).await;
+async fn a_call_sent_after_an_outage_waits_for_its_answer() {
+    let calls = PendingCalls::default();
+    let _ = calls.call(future::ready(timed_out())).await;
     time::sleep(OUTAGE).await;
-    let _ = watch.call(future::ready(Ok(()))).await;
+    let _ = calls.call(future::ready(Ok(()))).await;
 
-    let later = watch.call(async {
+    let later = calls.call(async {
         time::sleep(Duration::from_millis(30)).await;
         Ok(7)
     });
-    let (later, _) = tokio::join!(later, watch.call(future::ready(Ok(()))));
+    let (later, _) = tokio::join!(later, calls.call(future::ready(Ok(()))));
 
     assert_eq!(later, Ok(7));
 }
