--- a/crates/tinbank-gateway/src/border/store.rs
+++ b/crates/tinbank-gateway/src/border/store.rs
@@ -138,7 +138,7 @@
     /// The requests that are quarantined because they crash upstreams.
     Quarantine,
     /// The first delegates of the failure domains.
-    Leads,
+    FirstDelegates,
 }
 
 /// Consecutive entries of a list.
@@ -196,7 +196,7 @@
     /// Removes a host of the system from the list.
     async fn unregister(&self, host: &Peer, until: Instant) -> Result<(), Error>;
     /// Sets the first delegate of a failure domain.
-    async fn set_first_delegate(&self, lead: &Lead, until: Instant) -> Result<(), Error>;
+    async fn register_first_delegate(&self, lead: &Lead, until: Instant) -> Result<(), Error>;
     /// Quarantines a request.
     async fn quarantine(&self, held: &Held, until: Instant) -> Result<(), Error>;
     /// Lifts the quarantine of a request.
--- a/crates/tinbank-gateway/src/feed.rs
+++ b/crates/tinbank-gateway/src/feed.rs
@@ -94,7 +94,7 @@
             // They change with each heartbeat of an upstream, so that each reader costs the store as much as all that it tells.
             List::Upstreams | List::Hosts => self.reads_lists(),
             List::Config | List::Quarantine => self.is_delegate(),
-            List::Leads => false,
+            List::FirstDelegates => false,
         };
         let begins = self.is_named.get() && !self.has_hosts.get();
         has_nobody || on_duty || begins || self.alone.get()
--- a/crates/tinbank-gateway/src/feed/introduction.rs
+++ b/crates/tinbank-gateway/src/feed/introduction.rs
@@ -70,7 +70,10 @@
 
 async fn leads(node: &Node) -> Result<Vec<Lead>, Error> {
     let until = Instant::now() + CALL_TIMEOUT;
-    let page = node.store.read_newest(List::Leads, None, until).await?;
+    let page = node
+        .store
+        .read_newest(List::FirstDelegates, None, until)
+        .await?;
     let leads = page.entries.into_iter();
     let leads = leads.filter_map(|written| match written {
         ListEntry::FirstDelegate(lead) => Some(lead),
@@ -101,7 +104,7 @@
         address: node.sharing.own().address,
     };
     let until = Instant::now() + CALL_TIMEOUT;
-    match node.store.set_first_delegate(&lead, until).await {
+    match node.store.register_first_delegate(&lead, until).await {
         Ok(()) => {
             log::info!(failure_domain:% = lead.failure_domain; "named as the first delegate");
             true
--- a/crates/tinbank-gateway/src/view.rs
+++ b/crates/tinbank-gateway/src/view.rs
@@ -231,7 +231,7 @@
     fn wait(&self, list: List, now: Instant) -> Duration {
         match list {
             List::Config | List::Hosts => return WAIT,
-            List::Quarantine | List::Leads => return LONG_WAIT,
+            List::Quarantine | List::FirstDelegates => return LONG_WAIT,
             List::Upstreams => {}
         }
         let settles_at = self.upstreams.borrow().settles_at();
--- a/crates/tinbank-gateway/src/view/entries.rs
+++ b/crates/tinbank-gateway/src/view/entries.rs
@@ -36,7 +36,7 @@
         }
         List::Hosts => take_hosts(view, entries, whole),
         // Read only when a host starts.
-        List::Leads => false,
+        List::FirstDelegates => false,
     };
     view.lists.of(list).advance(end, changed);
     note_read(node, list, now, changed);
@@ -61,7 +61,7 @@
             }
             node.feed.listed(&node.sharing, Instant::now());
         }
-        List::Quarantine | List::Leads => {}
+        List::Quarantine | List::FirstDelegates => {}
     }
 }
 
--- a/crates/tinbank-gateway/src/view/lists.rs
+++ b/crates/tinbank-gateway/src/view/lists.rs
@@ -82,6 +82,6 @@
         List::Upstreams => "upstreams",
         List::Hosts => "hosts",
         List::Quarantine => "quarantine",
-        List::Leads => "leads",
+        List::FirstDelegates => "leads",
     }
 }
--- a/crates/tinbank-gateway/src/view/mark.rs
+++ b/crates/tinbank-gateway/src/view/mark.rs
@@ -45,7 +45,7 @@
             List::Upstreams => &self.upstreams,
             List::Hosts => &self.hosts,
             List::Quarantine => &self.quarantine,
-            List::Leads => &self.leads,
+            List::FirstDelegates => &self.leads,
         }
     }
 }
--- a/crates/tinbank-gateway/src/watch.rs
+++ b/crates/tinbank-gateway/src/watch.rs
@@ -169,8 +169,9 @@
         self.call(self.store.unregister(host, until)).await
     }
 
-    async fn set_first_delegate(&self, lead: &Lead, until: Instant) -> Result<(), Error> {
-        self.call(self.store.set_first_delegate(lead, until)).await
+    async fn register_first_delegate(&self, lead: &Lead, until: Instant) -> Result<(), Error> {
+        self.call(self.store.register_first_delegate(lead, until))
+            .await
     }
 
     async fn quarantine(&self, held: &Held, until: Instant) -> Result<(), Error> {
