--- a/crates/tinbank-entry/src/command.rs
+++ b/crates/tinbank-entry/src/command.rs
@@ -6,12 +6,12 @@
 
 use crate::{logs, metrics, settings, signals};
 
-/// Exit code of a process that was told to stop.
-const STOPPED: u8 = 0;
-/// Exit code where the process could not start; see `docs/exit-codes.md`.
-const NOT_STARTED: u8 = 1;
-/// Exit code for settings that can't be used.
-const BAD_SETTINGS: u8 = 2;
+/// Exit code after a requested stop or a successful check. All exit codes are listed in `docs/exit-codes.md`.
+const SUCCESS: u8 = 0;
+/// Exit code of a process that could not start.
+const START_FAILED: u8 = 1;
+/// Exit code for invalid settings.
+const INVALID_SETTINGS: u8 = 2;
 
 /// Run online and batch inference on one entry host.
 #[derive(Debug, FromArgs)]
@@ -24,19 +24,19 @@
     check: bool,
 }
 
-/// Runs the program and says how it ended.
+/// Runs the program and returns its exit code.
 pub fn run() -> ExitCode {
     let arguments: Arguments = argh::from_env();
     let settings = match settings::read(&arguments.settings) {
         Ok(settings) => settings,
         Err(error) => {
             eprintln!("{error}");
-            return ExitCode::from(BAD_SETTINGS);
+            return ExitCode::from(INVALID_SETTINGS);
         }
     };
     if arguments.check {
         println!("{}: settings are valid", arguments.settings.display());
-        return ExitCode::from(STOPPED);
+        return ExitCode::from(SUCCESS);
     }
     let _flush = logs::start();
     let metrics = metrics::start();
@@ -44,19 +44,19 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let ended = match runtime {
+    let result = match runtime {
         Ok(runtime) => runtime.block_on(async {
             let stop = signals::stop().map_err(|error| error.to_string())?;
-            let ended = tinbank_gateway::run(settings, platform, metrics, stop).await;
-            ended.map_err(|error| error.to_string())
+            let result = tinbank_gateway::run(settings, platform, metrics, stop).await;
+            result.map_err(|error| error.to_string())
         }),
-        Err(error) => Err(format!("can't start the runtime: {error}")),
+        Err(error) => Err(format!("can't start the async runtime: {error}")),
     };
-    match ended {
-        Ok(()) => ExitCode::from(STOPPED),
+    match result {
+        Ok(()) => ExitCode::from(SUCCESS),
         Err(error) => {
             log::error!(error:%; "not started");
-            ExitCode::from(NOT_STARTED)
+            ExitCode::from(START_FAILED)
         }
     }
 }
--- a/crates/tinbank-entry/src/logs.rs
+++ b/crates/tinbank-entry/src/logs.rs
@@ -1,4 +1,4 @@
-//! Logs: one line of key=value pairs an event, on standard output, bounded and never blocking.
+//! Logging to standard output: one line of key=value pairs per event, rate-limited and non-blocking.
 
 mod line;
 mod output;
@@ -11,7 +11,7 @@
 
 pub use output::Flush;
 
-/// Starts logging. Safe to call again: the first call counts. What it returns writes out what waits when it is dropped.
+/// Installs the logger, unless one is installed already. The returned guard writes pending lines when it is dropped.
 pub fn start() -> Flush {
     let (output, flush) = output::open(std::io::stdout());
     let logger = core::builder().dispatch(|dispatch| dispatch.append(output));
--- a/crates/tinbank-entry/src/logs/line.rs
+++ b/crates/tinbank-entry/src/logs/line.rs
@@ -1,4 +1,4 @@
-//! The form of a line.
+//! Format of a log line.
 
 use std::{fmt::Write, time::SystemTime};
 
@@ -8,20 +8,20 @@
     record::Record,
 };
 
-/// The line of a record: time in milliseconds since 1970, level, event, then the pairs of the event.
+/// Formats a record: Unix time in milliseconds, level, event, then the key-value pairs of the record.
 pub fn format(record: &Record<'_>) -> String {
-    let since_1970 = record.time().duration_since(SystemTime::UNIX_EPOCH);
-    let time = since_1970.map_or(0, |it| it.as_millis());
+    let since_epoch = record.time().duration_since(SystemTime::UNIX_EPOCH);
+    let time = since_epoch.map_or(0, |it| it.as_millis());
     let mut line = String::with_capacity(160);
     line.push_str("t=");
     line.push_str(&time.to_string());
     line.push_str(" level=");
     line.push_str(record.level().name());
-    pair(&mut line, "event", record.payload().to_string());
+    push_pair(&mut line, "event", record.payload().to_string());
     let mut pairs = Pairs(line);
-    // The visitor below never fails.
+    // `Pairs` never fails.
     if record.key_values().visit(&mut pairs).is_err() {
-        pair(&mut pairs.0, "incomplete", "true".to_owned());
+        push_pair(&mut pairs.0, "incomplete", "true".to_owned());
     }
     pairs.0.push('\n');
     pairs.0
@@ -31,13 +31,14 @@
 
 impl Visitor for Pairs {
     fn visit(&mut self, key: KeyView<'_>, value: ValueView<'_>) -> Result<(), Error> {
-        pair(&mut self.0, &key.to_string(), value.to_string());
+        push_pair(&mut self.0, &key.to_string(), value.to_string());
         Ok(())
     }
 }
 
-/// Adds a pair. A value with blanks, quotes or control characters is quoted and escaped, so that an event is one line.
-fn pair(line: &mut String, key: &str, value: String) {
+/// Appends a pair. A value with whitespace, quotes, `=` or control characters is quoted and escaped, so that a record stays on
+/// one line.
+fn push_pair(line: &mut String, key: &str, value: String) {
     line.push(' ');
     line.push_str(key);
     line.push('=');
--- a/crates/tinbank-entry/src/logs/output.rs
+++ b/crates/tinbank-entry/src/logs/output.rs
@@ -1,4 +1,4 @@
-//! Writes lines from a thread of its own, so that a reader that stands still stops nothing.
+//! Writes log lines from a separate thread, so that a blocked reader never blocks the process.
 
 use std::{
     io::Write,
@@ -11,21 +11,21 @@
 
 use super::{
     line,
-    rate::{Pass, Rates},
+    rate::{Decision, RateLimiter},
 };
 
-/// Most bytes that wait to be written. What comes beyond is left out and counted.
-const MAX_WAITING: usize = 256 << 10;
-/// How long lines are gathered before they are written together.
-const GATHER: Duration = Duration::from_millis(50);
-/// How long the end of the process waits for the last lines.
-const LAST_LINES: Duration = Duration::from_millis(200);
+/// Size limit of the buffer, in bytes. Lines beyond it are dropped and counted.
+const MAX_BUFFER_BYTES: usize = 256 << 10;
+/// How long lines are collected before they are written together.
+const BATCH_DELAY: Duration = Duration::from_millis(50);
+/// How long the end of the process waits until the last lines are written.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Takes lines; never blocks on their reader.
+/// Appender that buffers lines and never blocks on the writer.
 #[derive(Debug)]
 pub struct Output(Arc<Shared>);
 
-/// Writes out what waits when it is dropped.
+/// Guard that waits for the buffered lines to be written when it is dropped.
 pub struct Flush(Arc<Shared>);
 
 #[derive(Debug, Default)]
@@ -36,28 +36,28 @@
 
 #[derive(Debug, Default)]
 struct State {
-    waiting: Vec<u8>,
-    writing: bool,
-    left_out: u64,
-    rates: Rates,
+    buffer: Vec<u8>,
+    is_writing: bool,
+    dropped: u64,
+    limiter: RateLimiter,
 }
 
-/// An output to a writer, and what flushes it.
+/// Opens an output to a writer, and returns it with its flush guard.
 pub fn open(writer: impl Write + Send + 'static) -> (Output, Flush) {
     let shared = Arc::new(Shared::default());
-    let of_thread = Arc::clone(&shared);
-    let started = thread::Builder::new()
+    let thread_shared = Arc::clone(&shared);
+    let spawned = thread::Builder::new()
         .name("logs".to_owned())
-        .spawn(move || write(&of_thread, writer));
-    if let Err(error) = started {
-        eprintln!("can't start the thread that writes logs: {error}");
+        .spawn(move || write_loop(&thread_shared, writer));
+    if let Err(error) = spawned {
+        eprintln!("can't start the log writer thread: {error}");
     }
     (Output(Arc::clone(&shared)), Flush(shared))
 }
 
 impl Append for Output {
     fn append(&self, record: &Record<'_>, _: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
-        self.0.take(record);
+        self.0.append(record);
         Ok(())
     }
 
@@ -69,66 +69,70 @@
 impl Drop for Flush {
     fn drop(&mut self) {
         let state = self.0.lock();
-        let busy = |state: &mut State| state.writing || !state.waiting.is_empty();
-        drop(self.0.changed.wait_timeout_while(state, LAST_LINES, busy));
+        let is_pending = |state: &mut State| state.is_writing || !state.buffer.is_empty();
+        drop(
+            self.0
+                .changed
+                .wait_timeout_while(state, FLUSH_TIMEOUT, is_pending),
+        );
     }
 }
 
 impl Shared {
     fn lock(&self) -> MutexGuard<'_, State> {
-        // A thread that panicked leaves whole lines behind.
+        // The buffer holds only complete lines, even if a thread panicked while it held the lock.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn take(&self, record: &Record<'_>) {
-        let kind = record.payload().to_string();
+    fn append(&self, record: &Record<'_>) {
+        let event = record.payload().to_string();
         let mut state = self.lock();
-        let Pass::Write { left_out } = state.rates.pass(&kind, Instant::now()) else {
+        let Decision::Write { dropped } = state.limiter.check(&event, Instant::now()) else {
             return;
         };
         let mut text = line::format(record);
-        if left_out > 0 {
+        if dropped > 0 {
             text.push_str(&format!(
-                "event=\"lines left out\" kind={kind:?} count={left_out}\n"
+                "event=\"lines left out\" kind={event:?} count={dropped}\n"
             ));
         }
-        if state.waiting.len() + text.len() > MAX_WAITING {
-            state.left_out += 1;
+        if state.buffer.len() + text.len() > MAX_BUFFER_BYTES {
+            state.dropped += 1;
             return;
         }
-        let first = state.waiting.is_empty();
-        state.waiting.extend_from_slice(text.as_bytes());
+        let was_empty = state.buffer.is_empty();
+        state.buffer.extend_from_slice(text.as_bytes());
         drop(state);
-        if first {
+        if was_empty {
             self.changed.notify_all();
         }
     }
 }
 
-/// Writes for as long as the process runs.
-fn write(shared: &Shared, mut writer: impl Write) {
+/// Writes buffered lines for as long as the process runs.
+fn write_loop(shared: &Shared, mut writer: impl Write) {
     loop {
-        let idle = shared
+        let has_lines = shared
             .changed
-            .wait_while(shared.lock(), |state| state.waiting.is_empty());
-        drop(idle);
-        thread::sleep(GATHER);
+            .wait_while(shared.lock(), |state| state.buffer.is_empty());
+        drop(has_lines);
+        thread::sleep(BATCH_DELAY);
         let mut state = shared.lock();
-        let lines = std::mem::take(&mut state.waiting);
-        let left_out = std::mem::take(&mut state.left_out);
-        state.writing = true;
+        let lines = std::mem::take(&mut state.buffer);
+        let dropped = std::mem::take(&mut state.dropped);
+        state.is_writing = true;
         drop(state);
-        let written = writer.write_all(&lines).and_then(|()| match left_out {
+        let written = writer.write_all(&lines).and_then(|()| match dropped {
             0 => writer.flush(),
             _ => writeln!(
                 writer,
-                "event=\"lines left out, reader too slow\" count={left_out}"
+                "event=\"lines left out, reader too slow\" count={dropped}"
             ),
         });
-        shared.lock().writing = false;
+        shared.lock().is_writing = false;
         shared.changed.notify_all();
         if let Err(error) = written {
-            eprintln!("logs can't be written: {error}");
+            eprintln!("can't write logs: {error}");
         }
     }
 }
--- a/crates/tinbank-entry/src/logs/rate.rs
+++ b/crates/tinbank-entry/src/logs/rate.rs
@@ -1,64 +1,63 @@
-//! How many lines of a kind are written in a second.
+//! Rate limit of log lines, per event.
 
 use std::{
     collections::HashMap,
     time::{Duration, Instant},
 };
 
-/// Lines of one kind in one second. Source: some ten decisions a second a host on the busiest days, with room
-/// for the bursts in which the lines are needed; with lines of 150 bytes it bounds a kind to 6 KB a second.
-const LINES: u32 = 40;
-/// The time over which lines are counted.
+/// Most lines of one event that are written in a window.
+const MAX_LINES: u32 = 40;
+/// Length of the windows in which lines are counted.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// What a line may do.
+/// Whether a line is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Pass {
-    /// It is written. So many lines of its kind were left out before it.
+pub enum Decision {
+    /// The line is written.
     Write {
-        /// Lines left out since the last one written.
-        left_out: u32,
+        /// Number of lines of the event that were dropped since the last one written.
+        dropped: u32,
     },
-    /// It is left out.
-    LeaveOut,
+    /// The line is dropped.
+    Drop,
 }
 
-/// Counts lines by their kind, which is the text of their event.
+/// Rate limiter that counts lines by the text of their event.
 #[derive(Debug, Default)]
-pub struct Rates(HashMap<String, Rate>);
+pub struct RateLimiter(HashMap<String, Window>);
 
 #[derive(Debug)]
-struct Rate {
-    since: Instant,
+struct Window {
+    start: Instant,
     written: u32,
-    left_out: u32,
+    dropped: u32,
 }
 
-impl Rates {
-    /// Takes in a line.
-    pub fn pass(&mut self, kind: &str, now: Instant) -> Pass {
-        if !self.0.contains_key(kind) {
-            let rate = Rate {
-                since: now,
+impl RateLimiter {
+    /// Counts a line and decides whether it is written.
+    pub fn check(&mut self, event: &str, now: Instant) -> Decision {
+        if !self.0.contains_key(event) {
+            let window = Window {
+                start: now,
                 written: 0,
-                left_out: 0,
+                dropped: 0,
             };
-            self.0.insert(kind.to_owned(), rate);
+            self.0.insert(event.to_owned(), window);
         }
-        let Some(rate) = self.0.get_mut(kind) else {
-            return Pass::LeaveOut;
+        let Some(window) = self.0.get_mut(event) else {
+            return Decision::Drop;
         };
-        if now >= rate.since + WINDOW {
-            rate.since = now;
-            rate.written = 0;
+        if now >= window.start + WINDOW {
+            window.start = now;
+            window.written = 0;
         }
-        if rate.written >= LINES {
-            rate.left_out += 1;
-            return Pass::LeaveOut;
+        if window.written >= MAX_LINES {
+            window.dropped += 1;
+            return Decision::Drop;
         }
-        rate.written += 1;
-        Pass::Write {
-            left_out: std::mem::take(&mut rate.left_out),
+        window.written += 1;
+        Decision::Write {
+            dropped: std::mem::take(&mut window.dropped),
         }
     }
 }
--- a/crates/tinbank-entry/src/logs/tests.rs
+++ b/crates/tinbank-entry/src/logs/tests.rs
@@ -1,4 +1,4 @@
-//! Lines, their rate, and a reader that stands still.
+//! Tests of log lines, their rate limit, and a blocked reader.
 
 use std::{
     io::{self, Write},
@@ -17,10 +17,10 @@
 use super::{
     line,
     output::open,
-    rate::{Pass, Rates},
+    rate::{Decision, RateLimiter},
 };
 
-/// A writer that gives what it gets to the test.
+/// Writer that keeps the written bytes for the test.
 #[derive(Clone, Default)]
 struct Shared(Arc<Mutex<Vec<u8>>>);
 
@@ -35,10 +35,10 @@
     }
 }
 
-/// A writer whose reader stands still until the test ends.
-struct Stuck(Receiver<()>);
+/// Writer that blocks until the test ends.
+struct Blocked(Receiver<()>);
 
-impl Write for Stuck {
+impl Write for Blocked {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         // The sender is dropped at the end of the test.
         let _ = self.0.recv();
@@ -50,13 +50,13 @@
     }
 }
 
-fn with_record(event: &str, then: impl FnOnce(&Record<'_>)) {
+fn with_record(event: &str, test: impl FnOnce(&Record<'_>)) {
     let pairs = [("request", "a b"), ("reply", "line\nbreak")];
     let pairs: Vec<_> = pairs
         .iter()
         .map(|(key, value)| (logforth::kv::Key::new(key), logforth::kv::Value::str(value)))
         .collect();
-    then(
+    test(
         &Record::builder()
             .level(Level::Info)
             .payload(format_args!("{event}"))
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn an_event_is_one_line_of_pairs() {
+fn a_record_is_formatted_as_one_line_of_pairs() {
     with_record("no answer", |record| {
         let line = line::format(record);
 
@@ -82,23 +82,23 @@
 }
 
 #[test]
-fn a_kind_of_line_is_bounded_in_each_second_and_what_is_left_out_is_counted() {
+fn lines_of_an_event_are_limited_per_second_and_dropped_ones_are_counted() {
     let now = Instant::now();
-    let mut rates = Rates::default();
+    let mut limiter = RateLimiter::default();
 
-    let passed = (0..100)
-        .filter(|_| rates.pass("busy", now) != Pass::LeaveOut)
+    let written = (0..100)
+        .filter(|_| limiter.check("busy", now) != Decision::Drop)
         .count();
-    let other = rates.pass("other", now);
-    let later = rates.pass("busy", now + Duration::from_secs(1));
+    let other = limiter.check("other", now);
+    let later = limiter.check("busy", now + Duration::from_secs(1));
 
-    assert_eq!(passed, 40);
-    assert_eq!(other, Pass::Write { left_out: 0 });
-    assert_eq!(later, Pass::Write { left_out: 60 });
+    assert_eq!(written, 40);
+    assert_eq!(other, Decision::Write { dropped: 0 });
+    assert_eq!(later, Decision::Write { dropped: 60 });
 }
 
 #[test]
-fn lines_are_written_before_the_process_ends() {
+fn dropping_the_guard_flushes_pending_lines() {
     let shared = Shared::default();
     let (output, flush) = open(shared.clone());
 
@@ -110,17 +110,17 @@
 }
 
 #[test]
-fn a_reader_that_stands_still_stops_nobody() {
-    let (_reader, stands_still) = mpsc::channel();
-    let (output, flush) = open(Stuck(stands_still));
-    let many = 20_000;
+fn a_blocked_reader_blocks_neither_logging_nor_exit() {
+    let (_unblock, blocked) = mpsc::channel();
+    let (output, flush) = open(Blocked(blocked));
+    let lines = 20_000;
 
-    // Each line is of a kind of its own, so that the rate leaves none out.
-    for number in 0..many {
+    // Each event has a text of its own, so that the rate limit drops none.
+    for number in 0..lines {
         let event = format!("event {number}");
         with_record(&event, |record| output.append(record, &[]).unwrap());
     }
 
-    // That this is reached at all is the point: the lines beyond what may wait were left out.
+    // The test passes if this is reached: lines beyond the buffer limit were dropped.
     drop(flush);
 }
--- a/crates/tinbank-entry/src/main.rs
+++ b/crates/tinbank-entry/src/main.rs
@@ -1,4 +1,4 @@
-//! `tinbank-entry`: the program of an entry host. It runs online and batch in one process.
+//! `tinbank-entry`: the program of an entry host, which serves online and batch inference in one process.
 
 mod command;
 mod logs;
--- a/crates/tinbank-entry/src/settings.rs
+++ b/crates/tinbank-entry/src/settings.rs
@@ -4,7 +4,7 @@
 
 use tinbank_gateway::settings::Settings;
 
-/// Settings that can't be used.
+/// Why the settings can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The file can't be read.
@@ -12,28 +12,28 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The file is no JSON with comments.
+    /// The file isn't valid JSON with comments.
     #[error("{path}: {problem}\nhelp: the settings are JSON with comments, see docs/running.md")]
     Syntax {
         /// The file.
         path: PathBuf,
-        /// Where, and what is wrong.
+        /// Position and description of the error.
         problem: String,
     },
-    /// A setting is missing, unknown or wrong.
+    /// A setting is missing, unknown or invalid.
     #[error("{path}: {problem}\nhelp: see docs/running.md for the settings of tinbank-entry")]
     Value {
         /// The file.
         path: PathBuf,
-        /// Which, and what is wrong.
+        /// Name of the setting and description of the error.
         problem: String,
     },
 }
 
-/// The settings in a file.
+/// Reads the settings from a file.
 pub fn read(path: &Path) -> Result<Settings, Error> {
     let text = std::fs::read_to_string(path).map_err(|source| Error::Read {
         path: path.to_owned(),
--- a/crates/tinbank-entry/src/signals.rs
+++ b/crates/tinbank-entry/src/signals.rs
@@ -1,13 +1,13 @@
-//! Signals of the platform.
+//! Handling of process signals.
 
 use tokio::signal::unix::{self, SignalKind};
 
-/// Signals can't be waited for.
+/// Why a signal handler can't be installed.
 #[derive(Debug, thiserror::Error)]
-#[error("can't wait for signals: {0}")]
+#[error("can't install signal handlers: {0}")]
 pub struct Error(#[from] std::io::Error);
 
-/// Waits for the signal to stop. A signal to reload changes nothing that runs, and is only noted.
+/// Returns a future that resolves on SIGTERM. SIGHUP is only logged, because settings can't be reloaded.
 pub fn stop() -> Result<impl Future<Output = ()>, Error> {
     let mut terminate = unix::signal(SignalKind::terminate())?;
     let mut reload = unix::signal(SignalKind::hangup())?;
@@ -15,7 +15,7 @@
         loop {
             tokio::select! {
                 _ = terminate.recv() => return,
-                _ = reload.recv() => log::info!("reload asked, the settings of a running process stay as they are"),
+                _ = reload.recv() => log::info!("reload requested, but the settings of a running process can't be changed"),
             }
         }
     })
--- a/crates/tinbank-entry/tests/command.rs
+++ b/crates/tinbank-entry/tests/command.rs
@@ -1,4 +1,4 @@
-//! The command line, by running the program.
+//! Tests of the command line, which run the program.
 
 use std::{
     fs,
@@ -13,18 +13,19 @@
     "/../../examples/entry/host-1.jsonc"
 );
 
-fn entry(arguments: &[&str]) -> Output {
+fn run_entry(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_tinbank-entry"))
         .args(arguments)
         .output()
         .unwrap()
 }
 
-fn check(path: &Path) -> Output {
-    entry(&["--settings", path.to_str().unwrap(), "--check"])
+fn check_settings(path: &Path) -> Output {
+    run_entry(&["--settings", path.to_str().unwrap(), "--check"])
 }
 
-fn changed(name: &str, from: &str, to: &str) -> PathBuf {
+/// Writes a copy of the example settings with one text replaced.
+fn modified_example(name: &str, from: &str, to: &str) -> PathBuf {
     let text = fs::read_to_string(EXAMPLE).unwrap();
     assert!(text.contains(from));
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.jsonc"));
@@ -33,8 +34,8 @@
 }
 
 #[test]
-fn help_names_every_argument() {
-    let help = String::from_utf8(entry(&["--help"]).stdout).unwrap();
+fn help_lists_every_argument() {
+    let help = String::from_utf8(run_entry(&["--help"]).stdout).unwrap();
 
     for argument in ["--settings", "--check"] {
         assert!(help.contains(argument), "{help}");
@@ -42,8 +43,8 @@
 }
 
 #[test]
-fn the_example_can_be_used() {
-    let output = check(Path::new(EXAMPLE));
+fn the_example_settings_are_valid() {
+    let output = check_settings(Path::new(EXAMPLE));
 
     assert_eq!(output.status.code(), Some(0));
     assert!(
@@ -60,13 +61,13 @@
     negative = { "negative", "\"balancer_s\": 3.2", "\"balancer_s\": -1", "balancer_s" },
     no_json = { "no-json", "\"store\": {", "\"store\": [", "" },
 )]
-fn settings_that_cannot_be_used_are_named_with_their_place(
+fn invalid_settings_are_reported_with_their_position(
     name: &str,
     from: &str,
     to: &str,
     place: &str,
 ) {
-    let output = check(&changed(name, from, to));
+    let output = check_settings(&modified_example(name, from, to));
 
     let error = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(2), "{error}");
@@ -75,19 +76,19 @@
 }
 
 #[test]
-fn settings_that_are_not_there_are_an_error_of_the_input() {
-    let output = check(Path::new("/nowhere.jsonc"));
+fn a_missing_settings_file_counts_as_invalid_settings() {
+    let output = check_settings(Path::new("/nowhere.jsonc"));
 
     assert_eq!(output.status.code(), Some(2));
 }
 
 #[test]
-fn an_address_that_is_taken_ends_the_start_with_a_line() {
+fn an_address_in_use_fails_the_start_with_a_log_line() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = taken.local_addr().unwrap().to_string();
-    let path = changed("taken", "127.0.0.11:8161", &address);
+    let path = modified_example("taken", "127.0.0.11:8161", &address);
 
-    let output = entry(&["--settings", path.to_str().unwrap()]);
+    let output = run_entry(&["--settings", path.to_str().unwrap()]);
 
     let lines = String::from_utf8(output.stdout).unwrap();
     assert_eq!(output.status.code(), Some(1));
--- a/crates/tinbank-entry/tests/soak/caller.rs
+++ b/crates/tinbank-entry/tests/soak/caller.rs
@@ -1,4 +1,4 @@
-//! Callers, and what they see.
+//! Callers, and a record of what they observe.
 
 use std::{
     cell::{Cell, RefCell},
@@ -20,49 +20,49 @@
     standin::client::{self, Got},
 };
 
-/// How long a caller waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(6);
-/// Tries of a submission.
-const TRIES: usize = 8;
+/// How long a caller waits for a response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(6);
+/// Most attempts to submit a job.
+const MAX_SUBMISSIONS: usize = 8;
 
-/// A stream that was asked for.
+/// A streaming request and its response.
 pub struct Stream {
     pub id: String,
     pub resumable: bool,
-    pub by: By,
-    pub got: Option<Got>,
+    pub sender: Sender,
+    pub response: Option<Got>,
 }
 
-/// Who asks.
+/// The sender of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum By {
-    /// Somebody without a key, on an open route.
-    Nobody,
-    /// A customer that sends less than it may.
-    Cool,
-    /// A customer that sends many times its limit.
-    Hot,
-    /// Somebody with a key that no customer ever had.
-    Stranger,
+pub enum Sender {
+    /// Without a key, on an open route.
+    Anonymous,
+    /// A customer that stays within its limit.
+    WithinLimit,
+    /// A customer that exceeds its limit many times.
+    OverLimit,
+    /// With a key that no customer ever had.
+    UnknownKey,
 }
 
-impl By {
-    /// The key that it sends; that of a customer is its name here.
+impl Sender {
+    /// Returns the key that is sent. The key of a customer equals its name.
     fn key(self) -> Option<&'static str> {
         match self {
-            Self::Nobody => None,
-            Self::Cool => Some("cool"),
-            Self::Hot => Some("hot"),
-            Self::Stranger => Some("stranger"),
+            Self::Anonymous => None,
+            Self::WithinLimit => Some("cool"),
+            Self::OverLimit => Some("hot"),
+            Self::UnknownKey => Some("stranger"),
         }
     }
 
-    /// The customer that upstreams may be told.
+    /// Returns the customer that is reported to upstreams.
     pub fn customer(self) -> Option<&'static str> {
         match self {
-            Self::Cool => Some("cool"),
-            Self::Hot => Some("hot"),
-            Self::Nobody | Self::Stranger => None,
+            Self::WithinLimit => Some("cool"),
+            Self::OverLimit => Some("hot"),
+            Self::Anonymous | Self::UnknownKey => None,
         }
     }
 }
@@ -71,26 +71,25 @@
 #[derive(Clone, Default)]
 pub struct Job {
     pub items: usize,
-    /// Answers to its submissions; nothing for none.
-    pub answers: Vec<Option<u16>>,
-    /// When its end was acknowledged.
-    pub ended_at: Option<Instant>,
-    /// Its end was asked for.
-    pub ending: bool,
+    /// Status of the response to each submission, or `None` if there was none.
+    pub statuses: Vec<Option<u16>>,
+    /// When the cancel was acknowledged.
+    pub cancelled_at: Option<Instant>,
+    pub cancel_requested: bool,
 }
 
-/// What callers saw.
+/// What callers observed.
 #[derive(Default)]
-pub struct Seen {
+pub struct Observations {
     pub streams: RefCell<Vec<Stream>>,
     pub jobs: RefCell<BTreeMap<String, Job>>,
     /// Results by job and position, as they were first read.
     pub results: RefCell<BTreeMap<(String, usize), Value>>,
-    /// Results that were read otherwise later.
+    /// Descriptions of results that differed in a later read.
     pub changed: RefCell<Vec<String>>,
 }
 
-impl Seen {
+impl Observations {
     pub fn streams(&self) -> usize {
         self.streams.borrow().len()
     }
@@ -99,8 +98,8 @@
         self.jobs.borrow().len()
     }
 
-    /// Takes in the answer to a read from a position on.
-    pub fn read(&self, job: &str, from: usize, page: &Value) {
+    /// Records a page of results that was read from position `from` on.
+    pub fn record_page(&self, job: &str, from: usize, page: &Value) {
         let results = page["results"].as_array().cloned().unwrap_or_default();
         for (index, result) in results.into_iter().enumerate() {
             let key = (job.to_owned(), from + index);
@@ -114,47 +113,52 @@
     }
 }
 
-/// The callers at work.
+/// The running callers.
 pub struct Callers {
-    seen: Rc<Seen>,
+    observed: Rc<Observations>,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl Callers {
-    /// Waits until all of them have their answers.
-    pub async fn finish(self) -> Rc<Seen> {
+    /// Waits until all callers are done.
+    pub async fn finish(self) -> Rc<Observations> {
         for task in self.tasks {
             task.await.unwrap();
         }
-        self.seen
+        self.observed
     }
 }
 
-/// Starts callers that ask until then.
+/// Starts callers that send requests until `until`.
 pub fn start(deployment: &Deployment, mut random: StdRng, until: Instant) -> Callers {
-    let seen = Rc::new(Seen::default());
+    let observed = Rc::new(Observations::default());
     let hosts = deployment.callers();
     let numbers = Rc::new(Cell::new(0));
     let mut tasks = Vec::new();
     for _ in 0..4 {
-        let caller = Caller::new(&seen, &hosts, &numbers, &mut random);
-        tasks.push(task::spawn_local(caller.streams(until)));
+        let caller = Caller::new(&observed, &hosts, &numbers, &mut random);
+        tasks.push(task::spawn_local(caller.send_streams(until)));
     }
     for _ in 0..2 {
-        let caller = Caller::new(&seen, &hosts, &numbers, &mut random);
-        tasks.push(task::spawn_local(caller.jobs(until)));
-        let caller = Caller::new(&seen, &hosts, &numbers, &mut random);
-        tasks.push(task::spawn_local(caller.reads(until)));
+        let caller = Caller::new(&observed, &hosts, &numbers, &mut random);
+        tasks.push(task::spawn_local(caller.send_jobs(until)));
+        let caller = Caller::new(&observed, &hosts, &numbers, &mut random);
+        tasks.push(task::spawn_local(caller.read_results(until)));
     }
-    for by in [By::Cool, By::Hot, By::Hot, By::Stranger] {
-        let caller = Caller::new(&seen, &hosts, &numbers, &mut random);
-        tasks.push(task::spawn_local(caller.keyed(by, until)));
+    for sender in [
+        Sender::WithinLimit,
+        Sender::OverLimit,
+        Sender::OverLimit,
+        Sender::UnknownKey,
+    ] {
+        let caller = Caller::new(&observed, &hosts, &numbers, &mut random);
+        tasks.push(task::spawn_local(caller.send_keyed_streams(sender, until)));
     }
-    Callers { seen, tasks }
+    Callers { observed, tasks }
 }
 
 struct Caller {
-    seen: Rc<Seen>,
+    observed: Rc<Observations>,
     hosts: Vec<SocketAddr>,
     numbers: Rc<Cell<u64>>,
     random: StdRng,
@@ -162,134 +166,151 @@
 
 impl Caller {
     fn new(
-        seen: &Rc<Seen>,
+        observed: &Rc<Observations>,
         hosts: &[SocketAddr],
         numbers: &Rc<Cell<u64>>,
         random: &mut StdRng,
     ) -> Self {
         Self {
-            seen: Rc::clone(seen),
+            observed: Rc::clone(observed),
             hosts: hosts.to_vec(),
             numbers: Rc::clone(numbers),
             random: StdRng::seed_from_u64(random.random()),
         }
     }
 
-    fn host(&mut self) -> SocketAddr {
+    fn random_host(&mut self) -> SocketAddr {
         self.hosts[self.random.random_range(0..self.hosts.len())]
     }
 
-    fn number(&self) -> u64 {
+    fn next_number(&self) -> u64 {
         self.numbers.set(self.numbers.get() + 1);
         self.numbers.get()
     }
 
-    async fn pause(&mut self, most_ms: u64) {
-        let pause = self.random.random_range(5..most_ms);
+    async fn pause(&mut self, max_ms: u64) {
+        let pause = self.random.random_range(5..max_ms);
         time::sleep(Duration::from_millis(pause)).await;
     }
 
-    async fn streams(mut self, until: Instant) {
+    async fn send_streams(mut self, until: Instant) {
         while Instant::now() < until {
             let resumable = self.random.random();
-            let id = format!("s{}", self.number());
+            let id = format!("s{}", self.next_number());
             let path = if resumable {
                 "/resumable/x"
             } else {
                 "/plain/x"
             };
-            let asked = client::try_stream(self.host(), path, &id);
-            let got = time::timeout(PATIENCE, asked).await.ok().flatten();
-            self.seen.streams.borrow_mut().push(Stream {
+            let request = client::try_stream(self.random_host(), path, &id);
+            let response = time::timeout(RESPONSE_TIMEOUT, request)
+                .await
+                .ok()
+                .flatten();
+            self.observed.streams.borrow_mut().push(Stream {
                 id,
                 resumable,
-                by: By::Nobody,
-                got,
+                sender: Sender::Anonymous,
+                response,
             });
             self.pause(60).await;
         }
     }
 
-    async fn keyed(mut self, by: By, until: Instant) {
-        let key = by.key().unwrap_or_default();
-        let most_ms = if by == By::Hot { 20 } else { 120 };
+    async fn send_keyed_streams(mut self, sender: Sender, until: Instant) {
+        let key = sender.key().unwrap_or_default();
+        let max_pause_ms = if sender == Sender::OverLimit { 20 } else { 120 };
         while Instant::now() < until {
-            let id = format!("k{}", self.number());
-            let asked = client::try_stream_as(self.host(), "/keyed/x", &id, key);
-            let got = time::timeout(PATIENCE, asked).await.ok().flatten();
-            self.seen.streams.borrow_mut().push(Stream {
+            let id = format!("k{}", self.next_number());
+            let request = client::try_stream_as(self.random_host(), "/keyed/x", &id, key);
+            let response = time::timeout(RESPONSE_TIMEOUT, request)
+                .await
+                .ok()
+                .flatten();
+            self.observed.streams.borrow_mut().push(Stream {
                 id,
                 resumable: true,
-                by,
-                got,
+                sender,
+                response,
             });
-            self.pause(most_ms).await;
+            self.pause(max_pause_ms).await;
         }
     }
 
-    async fn jobs(mut self, until: Instant) {
+    async fn send_jobs(mut self, until: Instant) {
         while Instant::now() < until {
-            let id = format!("j{}", self.number());
+            let id = format!("j{}", self.next_number());
             let items = self.random.random_range(1..5);
             self.submit(&id, items).await;
             if self.random.random_range(0..6) == 0 {
-                self.end(&id).await;
+                self.cancel(&id).await;
             }
             self.pause(300).await;
         }
     }
 
     async fn submit(&mut self, id: &str, items: usize) {
-        for _ in 0..TRIES {
-            let submitted = client::try_submit(self.host(), id, items);
-            let got = time::timeout(PATIENCE, submitted).await.ok().flatten();
-            let answer = got.map(|got| got.status);
-            self.answered(id, items, answer);
-            if answer == Some(202) {
+        for _ in 0..MAX_SUBMISSIONS {
+            let request = client::try_submit(self.random_host(), id, items);
+            let response = time::timeout(RESPONSE_TIMEOUT, request)
+                .await
+                .ok()
+                .flatten();
+            let status = response.map(|response| response.status);
+            self.record_submission(id, items, status);
+            if status == Some(202) {
                 return;
             }
             self.pause(200).await;
         }
     }
 
-    fn answered(&self, id: &str, items: usize, answer: Option<u16>) {
-        let mut jobs = self.seen.jobs.borrow_mut();
+    fn record_submission(&self, id: &str, items: usize, status: Option<u16>) {
+        let mut jobs = self.observed.jobs.borrow_mut();
         let job = jobs.entry(id.to_owned()).or_default();
         job.items = items;
-        job.answers.push(answer);
+        job.statuses.push(status);
     }
 
-    async fn end(&mut self, id: &str) {
-        self.with(id, |job| job.ending = true);
-        let host = self.host();
-        let asked = client::end(host, id);
-        let got = time::timeout(PATIENCE, asked).await.ok().flatten();
-        if got.is_some_and(|got| got.status == 200) {
-            self.with(id, |job| job.ended_at = Some(Instant::now()));
+    async fn cancel(&mut self, id: &str) {
+        self.update_job(id, |job| job.cancel_requested = true);
+        let host = self.random_host();
+        let request = client::end(host, id);
+        let response = time::timeout(RESPONSE_TIMEOUT, request)
+            .await
+            .ok()
+            .flatten();
+        if response.is_some_and(|response| response.status == 200) {
+            self.update_job(id, |job| job.cancelled_at = Some(Instant::now()));
         }
     }
 
-    async fn reads(mut self, until: Instant) {
+    async fn read_results(mut self, until: Instant) {
         while Instant::now() < until {
             self.pause(120).await;
-            let ids: Vec<String> = self.seen.jobs.borrow().keys().cloned().collect();
+            let ids: Vec<String> = self.observed.jobs.borrow().keys().cloned().collect();
             if ids.is_empty() {
                 continue;
             }
             let id = &ids[self.random.random_range(0..ids.len())];
             let from = self.random.random_range(0..3);
-            let host = self.host();
-            let read = client::try_results(host, id, from);
-            let got = time::timeout(PATIENCE, read).await.ok().flatten();
-            if let Some(got) = got.filter(|got| got.status == 200 && got.whole) {
-                let page = serde_json::from_str(&got.body).unwrap();
-                self.seen.read(id, from, &page);
+            let host = self.random_host();
+            let request = client::try_results(host, id, from);
+            let response = time::timeout(RESPONSE_TIMEOUT, request)
+                .await
+                .ok()
+                .flatten();
+            if let Some(response) =
+                response.filter(|response| response.status == 200 && response.whole)
+            {
+                let page = serde_json::from_str(&response.body).unwrap();
+                self.observed.record_page(id, from, &page);
             }
         }
     }
 
-    fn with(&self, id: &str, change: impl FnOnce(&mut Job)) {
-        if let Some(job) = self.seen.jobs.borrow_mut().get_mut(id) {
+    fn update_job(&self, id: &str, change: impl FnOnce(&mut Job)) {
+        if let Some(job) = self.observed.jobs.borrow_mut().get_mut(id) {
             change(job);
         }
     }
--- a/crates/tinbank-entry/tests/soak/deployment.rs
+++ b/crates/tinbank-entry/tests/soak/deployment.rs
@@ -1,4 +1,4 @@
-//! The processes, the stand-ins, and what stands between them.
+//! Processes of the program, stand-ins of the platform, and proxies between them.
 
 use std::{
     cell::{Cell, RefCell},
@@ -15,7 +15,7 @@
 use tokio::time;
 
 use crate::{
-    mortal::{self, Mortals},
+    crash::{self, CrashingService},
     proxy::{self, Proxy},
     standin::{
         client,
@@ -25,31 +25,32 @@
     },
 };
 
-/// Failure domains of the hosts. All engines are in the first one.
+/// Failure domain of some hosts and of all engines.
 const NORTH: &str = "north";
+/// Failure domain of the other hosts.
 const SOUTH: &str = "south";
-/// Failure domains of the hosts of most seeds: each host is a delegate.
-const FEW: [&str; 3] = [NORTH, SOUTH, NORTH];
-/// Those of each third seed: two hosts follow the four delegates of their failure domain.
-const MANY: [&str; 7] = [NORTH, NORTH, NORTH, SOUTH, NORTH, NORTH, NORTH];
-/// Engines of the deployment.
+/// Failure domain of each host, where every host is a delegate.
+const FEW_HOSTS: [&str; 3] = [NORTH, SOUTH, NORTH];
+/// Failure domain of each host, where two hosts follow the four delegates of their failure domain. Used by every third seed.
+const MANY_HOSTS: [&str; 7] = [NORTH, NORTH, NORTH, SOUTH, NORTH, NORTH, NORTH];
+/// Number of engines.
 pub const ENGINES: usize = 3;
-/// How long a process may take to stop by itself.
+/// How long a process may take to stop before it is killed.
 const GRACE: Duration = Duration::from_secs(4);
 
-/// A whole deployment on one machine.
+/// A deployment on one machine.
 pub struct Deployment {
     pub store: Rc<Store>,
     pub engines: Vec<Rc<Engine>>,
     pub hosts: Vec<Host>,
-    pub mortals: Rc<Mortals>,
-    /// One before each engine.
+    pub crashing_service: Rc<CrashingService>,
+    /// The proxy of each engine.
     pub engine_proxies: Vec<Rc<Proxy>>,
-    version: Cell<u64>,
+    config_version: Cell<u64>,
     folder: PathBuf,
 }
 
-/// One host: a process, its settings, and its way to the store.
+/// A host: its process, its settings, and its proxy to the store.
 pub struct Host {
     pub callers: SocketAddr,
     pub store_proxy: Rc<Proxy>,
@@ -62,7 +63,7 @@
 impl Deployment {
     pub async fn start(seed: u64) -> Self {
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("soak-{seed}"));
-        // What an earlier run left is not wanted; mostly there is none.
+        // Removes files of an earlier run, if there are any.
         let _ = fs::remove_dir_all(&folder);
         fs::create_dir_all(&folder).unwrap();
         let (store, store_address) = Store::start().await;
@@ -76,11 +77,11 @@
             engines.push(engine);
             engine_proxies.push(proxy);
         }
-        let mortals = Mortals::start(&store).await;
+        let crashing_service = CrashingService::start(&store).await;
         let mut hosts = Vec::new();
         let failure_domains = match seed % 3 {
-            0 => MANY.as_slice(),
-            _ => FEW.as_slice(),
+            0 => MANY_HOSTS.as_slice(),
+            _ => FEW_HOSTS.as_slice(),
         };
         for (index, failure_domain) in failure_domains.iter().enumerate() {
             let host = Host::prepare(&folder, index, failure_domain, store_address);
@@ -90,18 +91,18 @@
             store,
             engines,
             hosts,
-            mortals,
+            crashing_service,
             engine_proxies,
-            version: Cell::new(0),
+            config_version: Cell::new(0),
             folder,
         };
         deployment.configure();
         deployment.hosts.iter().for_each(Host::start);
-        deployment.ready().await;
+        deployment.wait_until_ready().await;
         deployment
     }
 
-    /// Where the hosts take callers.
+    /// Returns the addresses at which the hosts serve callers.
     pub fn callers(&self) -> Vec<SocketAddr> {
         self.hosts.iter().map(|host| host.callers).collect()
     }
@@ -110,13 +111,13 @@
         &self.folder
     }
 
-    /// Writes the next version of the configuration.
+    /// Writes a new version of the configuration to the store.
     pub fn configure(&self) {
-        self.version.set(self.version.get() + 1);
-        self.store.configure(&manifest(self.version.get()));
+        self.config_version.set(self.config_version.get() + 1);
+        self.store.configure(&manifest(self.config_version.get()));
     }
 
-    /// Ends all faults and waits until every host is ready.
+    /// Ends all faults, and waits until every host is ready.
     pub async fn heal(&self) {
         self.store.mode.set(store::Mode::Up);
         for (engine, proxy) in self.engines.iter().zip(&self.engine_proxies) {
@@ -128,15 +129,15 @@
             host.signal(Signal::CONT);
             host.start();
         }
-        self.ready().await;
+        self.wait_until_ready().await;
     }
 
-    pub fn clean(&self) {
-        // A folder that stays costs a little room only.
+    pub fn remove_files(&self) {
+        // Files that remain do no harm.
         let _ = fs::remove_dir_all(&self.folder);
     }
 
-    async fn ready(&self) {
+    async fn wait_until_ready(&self) {
         for host in &self.hosts {
             client::ready(host.readiness).await;
         }
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Starts the process unless it runs.
+    /// Starts the process, unless it is running.
     pub fn start(&self) {
         let mut process = self.process.borrow_mut();
         if let Some(child) = process.as_mut()
@@ -189,25 +190,25 @@
         *process = Some(child.unwrap());
     }
 
-    /// Kills the process and waits for its end.
+    /// Kills the process and waits until it has exited.
     pub fn kill(&self) {
         if let Some(mut child) = self.process.borrow_mut().take() {
-            // One that has ended already can't be killed.
+            // This fails only if the process has exited already.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// Asks the process to stop and waits for its end, up to its grace.
+    /// Asks the process to stop, and kills it if it has not exited within its grace period.
     pub async fn stop(&self) {
         self.signal(Signal::TERM);
         let until = time::Instant::now() + GRACE;
         while time::Instant::now() < until {
-            let ended = match self.process.borrow_mut().as_mut() {
+            let has_exited = match self.process.borrow_mut().as_mut() {
                 Some(child) => child.try_wait().unwrap().is_some(),
                 None => true,
             };
-            if ended {
+            if has_exited {
                 return;
             }
             time::sleep(Duration::from_millis(20)).await;
@@ -215,7 +216,7 @@
         self.kill();
     }
 
-    /// Sends a signal to the process, if it runs.
+    /// Sends a signal to the process, if it is running.
     pub fn signal(&self, signal: Signal) {
         if let Some(child) = self.process.borrow_mut().as_mut()
             && child.try_wait().unwrap().is_none()
@@ -238,18 +239,18 @@
         route("plain", "streaming", 1, false),
         route("resumable", "streaming", 2, true),
         route("keyed", "streaming", 2, true),
-        route(mortal::SERVICE, "streaming", 2, true),
-        // Engines fail at random here, which must not make an item count as one that always fails.
+        route(crash::SERVICE, "streaming", 2, true),
+        // Engines fail at random here. The high limit on attempts keeps items from being abandoned as always failing.
         route("batch", "batch", 1000, false),
     ];
     let customers = [("cool", &["cool"], 100), ("hot", &["hot"], 2)];
     let customers = customers.map(|(name, keys, rate)| Customer { name, keys, rate });
     let mut manifest = store::manifest(version, &routes);
     for route in manifest["routes"].as_array_mut().unwrap() {
-        if route["name"] == mortal::SERVICE {
-            route["service"] = json!(mortal::SERVICE);
+        if route["name"] == crash::SERVICE {
+            route["service"] = json!(crash::SERVICE);
         }
     }
-    let open = ["plain", "resumable", "batch", mortal::SERVICE];
+    let open = ["plain", "resumable", "batch", crash::SERVICE];
     store::with_customers(manifest, &customers, &open)
 }
--- a/crates/tinbank-entry/tests/soak/faults.rs
+++ b/crates/tinbank-entry/tests/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Faults in random order, overlapping and repeated.
+//! Random faults, which may overlap and repeat.
 
 use std::time::Duration;
 
@@ -12,17 +12,17 @@
     standin::{engine, store},
 };
 
-/// Plays faults until then.
-pub async fn play(deployment: &Deployment, mut random: StdRng, until: Instant) {
+/// Injects faults until `until`.
+pub async fn inject(deployment: &Deployment, mut random: StdRng, until: Instant) {
     while Instant::now() < until {
-        fault(deployment, &mut random).await;
+        inject_one(deployment, &mut random).await;
         let pause = random.random_range(20..220);
         time::sleep(Duration::from_millis(pause)).await;
     }
 }
 
-/// One fault begins, or one ends: each kind sets a state that a later one may set back.
-async fn fault(deployment: &Deployment, random: &mut StdRng) {
+/// Starts or ends one fault. Each fault sets a state that a later one may reset.
+async fn inject_one(deployment: &Deployment, random: &mut StdRng) {
     let host = &deployment.hosts[random.random_range(0..deployment.hosts.len())];
     let index = random.random_range(0..deployment.engines.len());
     match random.random_range(0..15) {
--- a/crates/tinbank-entry/tests/soak/main.rs
+++ b/crates/tinbank-entry/tests/soak/main.rs
@@ -1,17 +1,17 @@
-//! A randomized soak: the real program as separate processes on one machine, with faults from outside, and the promises
-//! checked from what callers and upstreams see.
+//! Randomized soak test: runs the program as separate processes on one machine, injects faults, and checks the documented
+//! guarantees against what callers and upstreams observe.
 //!
-//! CI plays a few fixed seeds for some seconds. More by hand:
+//! CI runs a few fixed seeds for some seconds each. To run more seeds:
 //! `TINBANK_SOAK_SEEDS=100..150 cargo test --release -p tinbank-entry --test soak -- --ignored --nocapture`.
 
 mod caller;
+mod crash;
 mod deployment;
 mod faults;
-mod mortal;
-mod promises;
+mod invariants;
 mod proxy;
 #[path = "../../../../platform/tests/standin/mod.rs"]
-#[allow(dead_code, reason = "the stand-ins serve other tests as well")]
+#[allow(dead_code, reason = "the stand-ins are shared with other tests")]
 mod standin;
 
 use std::{rc::Rc, time::Duration};
@@ -21,19 +21,19 @@
 use standin::play;
 use tokio::task;
 
-/// Seeds that CI plays. One that ever failed is added with a line on its cause.
+/// Seeds that CI runs. A seed that ever failed is added, with a line on its cause.
 const SEEDS: [u64; 3] = [1, 2, 3];
-/// For how long faults come.
-const FAULTS: Duration = Duration::from_secs(5);
+/// How long faults are injected.
+const FAULT_DURATION: Duration = Duration::from_secs(5);
 
 #[test]
-fn a_short_soak_keeps_every_promise() {
+fn a_short_soak_violates_no_guarantee() {
     SEEDS.into_iter().for_each(soak);
 }
 
 #[test]
-#[ignore = "takes minutes; played by hand, see docs/findings.md"]
-fn a_long_soak_keeps_every_promise() {
+#[ignore = "takes minutes; run manually, see docs/findings.md"]
+fn a_long_soak_violates_no_guarantee() {
     let range = std::env::var("TINBANK_SOAK_SEEDS").expect("TINBANK_SOAK_SEEDS=FIRST..END");
     let (first, end) = range.split_once("..").expect("FIRST..END");
     let seeds: std::ops::Range<u64> = first.parse().unwrap()..end.parse().unwrap();
@@ -43,28 +43,34 @@
 fn soak(seed: u64) {
     play(async move {
         let deployment = Deployment::start(seed).await;
-        let until = tokio::time::Instant::now() + FAULTS;
-        let mortals = Rc::clone(&deployment.mortals);
-        let deadly = task::spawn_local(mortals.call(deployment.callers(), until));
+        let until = tokio::time::Instant::now() + FAULT_DURATION;
+        let crashing_service = Rc::clone(&deployment.crashing_service);
+        let crashing =
+            task::spawn_local(crashing_service.send_requests(deployment.callers(), until));
         let callers = caller::start(&deployment, StdRng::seed_from_u64(seed), until);
-        faults::play(&deployment, StdRng::seed_from_u64(!seed), until).await;
+        faults::inject(&deployment, StdRng::seed_from_u64(!seed), until).await;
         deployment.heal().await;
-        let seen = callers.finish().await;
-        deadly.await.unwrap();
-        let mut broken = promises::broken(&deployment, &seen).await;
-        broken.extend(deployment.mortals.broken(&deployment.callers()).await);
+        let observed = callers.finish().await;
+        crashing.await.unwrap();
+        let mut violations = invariants::violations(&deployment, &observed).await;
+        violations.extend(
+            deployment
+                .crashing_service
+                .violations(&deployment.callers())
+                .await,
+        );
         println!(
-            "seed {seed}: {} streams, {} jobs, {} engines ended, {} broken",
-            seen.streams(),
-            seen.jobs(),
-            deployment.mortals.ended(),
-            broken.len()
+            "seed {seed}: {} streams, {} jobs, {} engine crashes, {} violations",
+            observed.streams(),
+            observed.jobs(),
+            deployment.crashing_service.crashes(),
+            violations.len()
         );
         assert!(
-            broken.is_empty(),
-            "seed {seed}, logs in {}: {broken:#?}",
+            violations.is_empty(),
+            "seed {seed}, logs in {}: {violations:#?}",
             deployment.folder().display()
         );
-        deployment.clean();
+        deployment.remove_files();
     });
 }
--- a/crates/tinbank-entry/tests/soak/proxy.rs
+++ b/crates/tinbank-entry/tests/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that harms the connections through it.
+//! A loopback proxy that injects connection faults.
 
 use std::{
     cell::{Cell, RefCell},
@@ -15,28 +15,28 @@
     task, time,
 };
 
-/// What happens to connections, open ones too.
+/// What happens to new and open connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
-    /// Bytes pass.
+    /// Data is forwarded.
     #[default]
     Pass,
-    /// Bytes pass late.
+    /// Data is forwarded with a delay.
     Delay,
     /// Connections are reset.
     Reset,
-    /// Connections stay, and no bytes pass.
+    /// Connections stay open, but no data is forwarded.
     Silent,
-    /// Requests pass, answers do not.
+    /// Requests are forwarded, responses are not.
     OneWay,
 }
 
-/// How late bytes pass.
+/// Delay of forwarded data.
 const DELAY: Duration = Duration::from_millis(120);
-/// How often held bytes look whether they may pass.
-const LOOK: Duration = Duration::from_millis(20);
+/// How often blocked data is checked for whether it may be forwarded.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The proxy of one server for one side.
+/// A proxy in front of one server.
 pub struct Proxy {
     mode: Cell<Mode>,
     reset: Rc<Notify>,
@@ -44,7 +44,7 @@
 }
 
 impl Proxy {
-    /// A proxy and where it listens.
+    /// Starts a proxy, and returns it with the address it listens at.
     pub async fn start(target: SocketAddr) -> (Rc<Self>, SocketAddr) {
         let proxy = Rc::new(Self {
             mode: Cell::default(),
@@ -56,7 +56,7 @@
         let accepting = Rc::clone(&proxy);
         task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                task::spawn_local(Rc::clone(&accepting).carry(stream));
+                task::spawn_local(Rc::clone(&accepting).forward(stream));
             }
         });
         (proxy, address)
@@ -69,20 +69,20 @@
         }
     }
 
-    async fn carry(self: Rc<Self>, near: TcpStream) {
+    async fn forward(self: Rc<Self>, client: TcpStream) {
         let target = *self.target.borrow();
         if self.mode.get() == Mode::Reset {
-            return reset(&near);
+            return reset_on_drop(&client);
         }
-        let Ok(far) = TcpStream::connect(target).await else {
+        let Ok(server) = TcpStream::connect(target).await else {
             return;
         };
-        let (mut near_read, mut near_write) = near.into_split();
-        let (mut far_read, mut far_write) = far.into_split();
+        let (mut client_read, mut client_write) = client.into_split();
+        let (mut server_read, mut server_write) = server.into_split();
         tokio::select! {
-            () = self.copy(&mut near_read, &mut far_write, false) => {}
-            () = self.copy(&mut far_read, &mut near_write, true) => {}
-            () = self.reset.notified() => reset(near_write.as_ref()),
+            () = self.copy(&mut client_read, &mut server_write, false) => {}
+            () = self.copy(&mut server_read, &mut client_write, true) => {}
+            () = self.reset.notified() => reset_on_drop(client_write.as_ref()),
         }
     }
 
@@ -90,12 +90,12 @@
         &self,
         from: &mut tcp::OwnedReadHalf,
         to: &mut tcp::OwnedWriteHalf,
-        is_answer: bool,
+        is_response: bool,
     ) {
         let mut buffer = vec![0; 16 << 10];
         while let Ok(length) = from.read(&mut buffer).await {
-            while self.holds(is_answer) {
-                time::sleep(LOOK).await;
+            while self.blocks(is_response) {
+                time::sleep(POLL_INTERVAL).await;
             }
             if self.mode.get() == Mode::Delay {
                 time::sleep(DELAY).await;
@@ -106,17 +106,17 @@
         }
     }
 
-    fn holds(&self, is_answer: bool) -> bool {
+    fn blocks(&self, is_response: bool) -> bool {
         match self.mode.get() {
             Mode::Silent => true,
-            Mode::OneWay => is_answer,
+            Mode::OneWay => is_response,
             Mode::Pass | Mode::Delay | Mode::Reset => false,
         }
     }
 }
 
-/// Has a connection reset when it is dropped.
-fn reset(stream: &TcpStream) {
-    // A connection that is gone already needs no reset.
+/// Makes a connection be reset instead of closed when it is dropped.
+fn reset_on_drop(stream: &TcpStream) {
+    // This fails only for a connection that is closed already.
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
