--- /dev/null
+++ b/crates/tinbank-allocator/src/smoothed_duration.rs
@@ -0,0 +1,32 @@
+//! A duration smoothed by an exponentially weighted moving average.
+
+use std::time::Duration;
+
+/// Value before the first measurement: requests are not refused on a guess.
+const UNMEASURED: Duration = Duration::ZERO;
+/// The newest measurement has a weight of one in this many.
+const SMOOTHING: u32 = 16;
+
+/// A smoothed duration, such as the time for which an online request holds its slot.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct SmoothedDuration(Option<Duration>);
+
+impl SmoothedDuration {
+    /// Records a measurement.
+    pub fn record(&mut self, took: Duration) {
+        self.0 = Some(match self.0 {
+            None => took,
+            Some(before) => (before * (SMOOTHING - 1) + took) / SMOOTHING,
+        });
+    }
+
+    /// Returns the smoothed duration, or `None` before the first measurement.
+    pub fn get(self) -> Option<Duration> {
+        self.0
+    }
+
+    /// Returns the smoothed duration, or zero before the first measurement.
+    pub fn get_or_zero(self) -> Duration {
+        self.0.unwrap_or(UNMEASURED)
+    }
+}
--- a/crates/tinbank-entry/tests/soak/caller.rs
+++ b/crates/tinbank-entry/tests/soak/caller.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     deployment::Deployment,
-    standin::client::{self, Got},
+    standin::client::{self, Response},
 };
 
 /// How long a caller waits for a response.
@@ -30,7 +30,7 @@
     pub id: String,
     pub resumable: bool,
     pub sender: Sender,
-    pub response: Option<Got>,
+    pub response: Option<Response>,
 }
 
 /// The sender of a request.
@@ -275,7 +275,7 @@
     async fn cancel(&mut self, id: &str) {
         self.update_job(id, |job| job.cancel_requested = true);
         let host = self.random_host();
-        let request = client::end(host, id);
+        let request = client::cancel(host, id);
         let response = time::timeout(RESPONSE_TIMEOUT, request)
             .await
             .ok()
@@ -301,7 +301,7 @@
                 .ok()
                 .flatten();
             if let Some(response) =
-                response.filter(|response| response.status == 200 && response.whole)
+                response.filter(|response| response.status == 200 && response.is_complete)
             {
                 let page = serde_json::from_str(&response.body).unwrap();
                 self.observed.record_page(id, from, &page);
--- a/crates/tinbank-entry/tests/soak/crash.rs
+++ b/crates/tinbank-entry/tests/soak/crash.rs
@@ -66,11 +66,11 @@
             self.started.set(number + 1);
             let name = format!("m{number}");
             let (engine, address) = Engine::start(&name).await;
-            *engine.ends_at.borrow_mut() = Some(Bytes::from_static(CRASHING_BODY.as_bytes()));
-            self.store.list_of(SERVICE, &name, address);
-            engine.end.clone().come().await;
+            *engine.crashes_on.borrow_mut() = Some(Bytes::from_static(CRASHING_BODY.as_bytes()));
+            self.store.put_engine_of(SERVICE, &name, address);
+            engine.crash.clone().triggered().await;
             self.crashes.set(self.crashes.get() + 1);
-            self.store.lapse(&name);
+            self.store.remove_engine(&name);
             time::sleep(RESTART_DELAY).await;
         }
     }
@@ -98,7 +98,7 @@
     /// Sends a request, and returns the retry delay in seconds if it was refused.
     async fn send(&self, host: SocketAddr, body: &str, number: usize) -> Option<f64> {
         let id = format!("{SERVICE}-{body}-{number}");
-        let request = client::prompt(host, PATH, &id, "2000", body);
+        let request = client::stream_with_body(host, PATH, &id, "2000", body);
         let response = time::timeout(PROPAGATION_TIME, request)
             .await
             .ok()
--- a/crates/tinbank-entry/tests/soak/deployment.rs
+++ b/crates/tinbank-entry/tests/soak/deployment.rs
@@ -20,8 +20,8 @@
     standin::{
         client,
         engine::{self, Engine},
-        own_address,
         store::{self, Customer, PARTITIONS, Route, Store},
+        unique_address,
     },
 };
 
@@ -73,7 +73,7 @@
             let name = format!("e{index}");
             let (engine, address) = Engine::start(&name).await;
             let (proxy, address) = Proxy::start(address).await;
-            store.list(&name, address, "ready");
+            store.put_engine(&name, address, "ready");
             engines.push(engine);
             engine_proxies.push(proxy);
         }
@@ -121,7 +121,7 @@
     pub async fn heal(&self) {
         self.store.mode.set(store::Mode::Up);
         for (engine, proxy) in self.engines.iter().zip(&self.engine_proxies) {
-            engine.mode.set(engine::Mode::Runs);
+            engine.mode.set(engine::Mode::Serves);
             proxy.set(proxy::Mode::Pass);
         }
         for host in &self.hosts {
@@ -147,7 +147,7 @@
 impl Host {
     async fn prepare(folder: &Path, index: usize, failure_domain: &str, store: SocketAddr) -> Self {
         let (store_proxy, store) = Proxy::start(store).await;
-        let own = own_address();
+        let own = unique_address();
         let tcp = || TcpListener::bind((own, 0)).unwrap();
         let udp = UdpSocket::bind((own, 0)).unwrap();
         let (callers, readiness) = (tcp(), tcp());
--- a/crates/tinbank-entry/tests/soak/faults.rs
+++ b/crates/tinbank-entry/tests/soak/faults.rs
@@ -47,10 +47,10 @@
 fn store_mode(random: &mut StdRng) -> store::Mode {
     match random.random_range(0..5) {
         0 => store::Mode::Busy,
-        1 => store::Mode::LosesAnswers,
-        2 => store::Mode::Silent,
-        3 => store::Mode::Deaf,
-        _ => store::Mode::LosesSomeAnswers,
+        1 => store::Mode::DropsAnswers,
+        2 => store::Mode::Unresponsive,
+        3 => store::Mode::IgnoresLongPolls,
+        _ => store::Mode::DropsSomeAnswers,
     }
 }
 
@@ -58,7 +58,7 @@
     match random.random_range(0..7) {
         0 => proxy::Mode::Delay,
         1 => proxy::Mode::Reset,
-        2 => proxy::Mode::Silent,
+        2 => proxy::Mode::Unresponsive,
         3 => proxy::Mode::OneWay,
         _ => proxy::Mode::Pass,
     }
@@ -66,11 +66,11 @@
 
 fn engine_mode(random: &mut StdRng) -> engine::Mode {
     match random.random_range(0..8) {
-        0 => engine::Mode::BreaksOff(random.random_range(0..engine::EVENTS)),
-        1 => engine::Mode::FallsSilent(random.random_range(0..engine::EVENTS)),
+        0 => engine::Mode::BreaksAfter(random.random_range(0..engine::EVENTS)),
+        1 => engine::Mode::StallsAfter(random.random_range(0..engine::EVENTS)),
         2 => engine::Mode::Sheds,
         3 => engine::Mode::Fails,
-        4 => engine::Mode::LosesAnswer,
-        _ => engine::Mode::Runs,
+        4 => engine::Mode::DropsAnswer,
+        _ => engine::Mode::Serves,
     }
 }
--- a/crates/tinbank-entry/tests/soak/invariants.rs
+++ b/crates/tinbank-entry/tests/soak/invariants.rs
@@ -130,7 +130,7 @@
         503 | 429 if !stream.resumable && !runs.is_empty() => {
             Some(format!("{id} was answered as not run, but ran"))
         }
-        200 if response.whole => {
+        200 if response.is_complete => {
             let data: Vec<&str> = response
                 .body
                 .lines()
--- a/crates/tinbank-entry/tests/soak/main.rs
+++ b/crates/tinbank-entry/tests/soak/main.rs
@@ -18,7 +18,7 @@
 
 use deployment::Deployment;
 use rand::{SeedableRng, rngs::StdRng};
-use standin::play;
+use standin::run_local;
 use tokio::task;
 
 /// Seeds that CI runs. A seed that ever failed is added, with a line on its cause.
@@ -41,7 +41,7 @@
 }
 
 fn soak(seed: u64) {
-    play(async move {
+    run_local(async move {
         let deployment = Deployment::start(seed).await;
         let until = tokio::time::Instant::now() + FAULT_DURATION;
         let crashing_service = Rc::clone(&deployment.crashing_service);
--- a/crates/tinbank-entry/tests/soak/proxy.rs
+++ b/crates/tinbank-entry/tests/soak/proxy.rs
@@ -26,7 +26,7 @@
     /// Connections are reset.
     Reset,
     /// Connections stay open, but no data is forwarded.
-    Silent,
+    Unresponsive,
     /// Requests are forwarded, responses are not.
     OneWay,
 }
@@ -108,7 +108,7 @@
 
     fn blocks(&self, is_response: bool) -> bool {
         match self.mode.get() {
-            Mode::Silent => true,
+            Mode::Unresponsive => true,
             Mode::OneWay => is_response,
             Mode::Pass | Mode::Delay | Mode::Reset => false,
         }
--- a/crates/tinbank-gateway/src/border/ingress.rs
+++ b/crates/tinbank-gateway/src/border/ingress.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use tinbank_customer::Key;
+use tinbank_customer::KeyDigest;
 use tinbank_jobs::record::{self, Content, Index, ItemId, Reason};
 use tinbank_relay::event;
 
@@ -26,7 +26,7 @@
     /// Host name of the call.
     pub host: String,
     /// Key of the caller.
-    pub key: Option<Key>,
+    pub key: Option<KeyDigest>,
     /// What the call does.
     pub operation: JobOperation,
 }
@@ -70,7 +70,7 @@
     /// Path without query.
     pub path: String,
     /// Key of the caller.
-    pub key: Option<Key>,
+    pub key: Option<KeyDigest>,
     /// How long the caller waits.
     pub time_left: Option<Duration>,
     /// Last event that the caller received of the stream it resumes.
@@ -107,7 +107,7 @@
 
 /// The result of an item.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ItemResult {
+pub struct PageEntry {
     /// The item.
     pub item: ItemId,
     /// Its outcome.
@@ -122,7 +122,7 @@
     /// Position after the last result of the page.
     pub next: usize,
     /// The results.
-    pub results: Vec<ItemResult>,
+    pub results: Vec<PageEntry>,
 }
 
 /// A reply that the host generates itself. Logs print the names of the variants.
--- a/crates/tinbank-gateway/src/border/store.rs
+++ b/crates/tinbank-gateway/src/border/store.rs
@@ -5,8 +5,8 @@
 use async_trait::async_trait;
 use bytes::Bytes;
 use tinbank_allocator::directory::Peer;
-use tinbank_feed::source::Lead;
-use tinbank_quarantine::{Fingerprint, Held};
+use tinbank_feed::source::FirstDelegate;
+use tinbank_quarantine::{Fingerprint, Quarantined};
 use tinbank_relay::{route::Config, upstream::Upstream};
 
 /// Offset of a record in a partition.
@@ -111,11 +111,11 @@
     /// A host of the system is registered.
     Host(Peer),
     /// The first delegate of a failure domain.
-    FirstDelegate(Lead),
+    FirstDelegate(FirstDelegate),
     /// A host of the system was unregistered.
     HostRemoved(SocketAddr),
     /// A request is quarantined.
-    Quarantined(Held),
+    Quarantined(Quarantined),
     /// The quarantine of a request was lifted.
     QuarantineLifted(Fingerprint),
     /// A failure domain is evacuated: its upstreams get no new requests.
@@ -196,9 +196,13 @@
     /// Removes a host of the system from the list.
     async fn unregister(&self, host: &Peer, until: Instant) -> Result<(), Error>;
     /// Sets the first delegate of a failure domain.
-    async fn register_first_delegate(&self, lead: &Lead, until: Instant) -> Result<(), Error>;
+    async fn register_first_delegate(
+        &self,
+        lead: &FirstDelegate,
+        until: Instant,
+    ) -> Result<(), Error>;
     /// Quarantines a request.
-    async fn quarantine(&self, held: &Held, until: Instant) -> Result<(), Error>;
+    async fn quarantine(&self, held: &Quarantined, until: Instant) -> Result<(), Error>;
     /// Lifts the quarantine of a request.
     async fn lift_quarantine(&self, request: Fingerprint, until: Instant) -> Result<(), Error>;
     /// Joins a group, or renews the membership.
--- a/crates/tinbank-gateway/src/node.rs
+++ b/crates/tinbank-gateway/src/node.rs
@@ -7,8 +7,8 @@
     time::{Duration, Instant},
 };
 
-use tinbank_allocator::{admission::Usual, pace::Pace};
-use tinbank_relay::{patience::Patience, route::Route};
+use tinbank_allocator::{admission::RouteTimings, smoothed_duration::SmoothedDuration};
+use tinbank_relay::{caller_timeout::CallerTimeout, route::Route};
 
 use crate::{
     batch::Batch,
@@ -47,9 +47,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct RouteStats {
     /// How long callers wait for a response.
-    patience: Patience,
-    first_event: Pace,
-    held: Pace,
+    caller_timeout: CallerTimeout,
+    first_event: SmoothedDuration,
+    held: SmoothedDuration,
 }
 
 impl Node {
@@ -91,9 +91,9 @@
             return pauses;
         };
         log::warn!(pause_ms = pause.as_millis() as u64; "process was paused, reading all state again");
-        self.view.distrust();
-        self.batch.distrust();
-        self.sharing.forget(now.monotonic);
+        self.view.invalidate_config();
+        self.batch.invalidate_membership();
+        self.sharing.reset_after_pause(now.monotonic);
         pauses
     }
 
@@ -101,8 +101,8 @@
     pub fn update_allocator(&self) {
         let upstreams = self
             .view
-            .dealt(&self.settings.failure_domain, Instant::now());
-        self.sharing.list(upstreams);
+            .allocatable(&self.settings.failure_domain, Instant::now());
+        self.sharing.set_upstreams(upstreams);
     }
 
     /// Returns the next number of the sequence by which services are selected in proportion to their weights.
@@ -114,25 +114,27 @@
 
     /// Returns whether a request with this time left is likely its caller's first attempt.
     pub fn is_first_try(&self, route: &Route, time_left: Duration) -> bool {
-        self.with_stats(route, |it| it.patience.is_first(time_left, route.timeout))
+        self.with_stats(route, |it| {
+            it.caller_timeout.is_first_try(time_left, route.timeout)
+        })
     }
 
     /// Returns the usual durations on a route.
-    pub fn usual(&self, route: &Route) -> Usual {
-        self.with_stats(route, |it| Usual {
-            first_event: it.first_event.measured(),
-            held: it.held.measured(),
+    pub fn usual(&self, route: &Route) -> RouteTimings {
+        self.with_stats(route, |it| RouteTimings {
+            first_event: it.first_event.get(),
+            slot_time: it.held.get(),
         })
     }
 
     /// Records the time from sending a request to the first event of its response.
     pub fn record_first_event(&self, route: &Route, after: Duration) {
-        self.with_stats(route, |it| it.first_event.note(after));
+        self.with_stats(route, |it| it.first_event.record(after));
     }
 
     /// Records how long a completed request held its slot.
-    pub fn record_hold_time(&self, route: &Route, time: Duration) {
-        self.with_stats(route, |it| it.held.note(time));
+    pub fn record_slot_time(&self, route: &Route, time: Duration) {
+        self.with_stats(route, |it| it.held.record(time));
     }
 
     fn with_stats<T>(&self, route: &Route, apply: impl FnOnce(&mut RouteStats) -> T) -> T {
@@ -146,7 +148,7 @@
     /// Returns whether the process can take requests: it has read the configuration and the upstreams, and the jobs if it is
     /// a delegate. Other hosts forward calls about jobs.
     pub fn is_ready(&self) -> bool {
-        let knows_jobs = self.batch.is_known() || !self.feed.is_delegate();
+        let knows_jobs = self.batch.is_caught_up() || !self.feed.is_delegate();
         self.view.is_known() && knows_jobs && !self.stop.is_stopping()
     }
 }
--- a/crates/tinbank-gateway/src/relay/answer.rs
+++ b/crates/tinbank-gateway/src/relay/answer.rs
@@ -1,4 +1,4 @@
-//! The body of an upstream's answer, which says so when the upstream breaks it off.
+//! The body of an upstream's answer, which reports to the quarantine how it ended.
 
 use std::{
     cell::Cell,
@@ -12,80 +12,80 @@
 use http_body::{Body, Frame, SizeHint};
 use hyper::body::Incoming;
 use tinbank_base::id;
-use tinbank_quarantine::Blamed;
+use tinbank_quarantine::InFlight;
 use tinbank_relay::event;
 
 use crate::{border::engine::Request, node::Node, quarantine};
 
-/// A request under way at an upstream.
-pub(crate) struct Witness {
+/// An attempt in progress at an upstream.
+pub(crate) struct AttemptContext {
     pub node: Rc<Node>,
     pub request: Rc<Request>,
     pub upstream: id::Instance,
     pub address: SocketAddr,
-    /// Last event of the answer that has come, the ones that the caller had before among them.
-    pub reached: Cell<event::Id>,
+    /// Number of the last event that the caller has, including events from earlier attempts.
+    pub last_event: Cell<event::Id>,
 }
 
-impl Witness {
-    /// The upstream closed the connection before the answer was whole. It may have ended, perhaps by this request.
-    pub fn broken(&self) {
-        let blamed = Blamed {
+impl AttemptContext {
+    /// Records that the connection was lost before the answer was complete. The request may have crashed the upstream.
+    pub fn record_broken_connection(&self) {
+        let blamed = InFlight {
             request: self.request.fingerprint(),
-            reached: self.reached.get(),
+            reached: self.last_event.get(),
         };
-        quarantine::broken(&self.node, &self.upstream, self.address, blamed);
+        quarantine::record_broken_connection(&self.node, &self.upstream, self.address, blamed);
     }
 }
 
-/// The body of an answer. Whoever reads it need not care for what a break means for other requests.
-pub(crate) struct Answer {
+/// The body of an answer. It reports broken connections and completed answers to the quarantine.
+pub(crate) struct AnswerBody {
     body: Incoming,
-    witness: Witness,
-    is_whole: Cell<bool>,
+    attempt: AttemptContext,
+    is_complete: Cell<bool>,
 }
 
-impl Drop for Answer {
+impl Drop for AnswerBody {
     fn drop(&mut self) {
-        let Witness {
+        let AttemptContext {
             node,
             request,
-            reached,
+            last_event,
             ..
-        } = &self.witness;
-        match self.is_whole.get() {
-            true => quarantine::survived(node, request),
-            false => quarantine::passed(node, request, reached.get()),
+        } = &self.attempt;
+        match self.is_complete.get() {
+            true => quarantine::record_completion(node, request),
+            false => quarantine::record_progress(node, request, last_event.get()),
         }
     }
 }
 
-impl Answer {
-    pub fn new(body: Incoming, witness: Witness) -> Self {
+impl AnswerBody {
+    pub fn new(body: Incoming, attempt: AttemptContext) -> Self {
         Self {
             body,
-            witness,
-            is_whole: Cell::new(false),
+            attempt,
+            is_complete: Cell::new(false),
         }
     }
 
-    /// An event of the answer has come.
-    pub fn reached(&self, event: event::Id) {
-        self.witness.reached.set(event);
+    /// Records that an event of the answer was received.
+    pub fn record_event(&self, event: event::Id) {
+        self.attempt.last_event.set(event);
     }
 
-    /// The answer was whole.
-    pub fn whole(&self) {
-        self.is_whole.set(true);
+    /// Marks the answer as complete.
+    pub fn mark_complete(&self) {
+        self.is_complete.set(true);
     }
 
-    /// The body has ended within an event. Where it has no length, that is how an upstream's end shows.
-    pub fn cut(&self) {
-        self.witness.broken();
+    /// Records that the body ended within an event, which is how a crash shows if the body has no length.
+    pub fn mark_truncated(&self) {
+        self.attempt.record_broken_connection();
     }
 }
 
-impl Body for Answer {
+impl Body for AnswerBody {
     type Data = Bytes;
     type Error = hyper::Error;
 
@@ -95,7 +95,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
         let polled = Pin::new(&mut self.body).poll_frame(context);
         if let Poll::Ready(Some(Err(_))) = polled {
-            self.witness.broken();
+            self.attempt.record_broken_connection();
         }
         polled
     }
--- a/crates/tinbank-gateway/src/run.rs
+++ b/crates/tinbank-gateway/src/run.rs
@@ -145,18 +145,18 @@
     let respond = move || serve::readiness_response(&checked);
     task::spawn_local(serve::serve_endpoint(readiness, Rc::new(respond)));
     let receiver = Rc::clone(node);
-    let on_update = move |from, update| quarantine::told(&receiver, from, update);
+    let on_update = move |from, update| quarantine::apply_update(&receiver, from, update);
     task::spawn_local(sharing::receive(Rc::clone(&node.sharing), on_update));
     task::spawn_local(sharing::heartbeat(Rc::clone(node)));
-    task::spawn_local(sharing::tell_counts(Rc::clone(&node.sharing)));
+    task::spawn_local(sharing::broadcast_counts(Rc::clone(&node.sharing)));
     task::spawn_local(feed::follow(Rc::clone(node)));
-    task::spawn_local(feed::name_lead(Rc::clone(node)));
-    task::spawn_local(sharing::survey(Rc::clone(node)));
+    task::spawn_local(feed::register_first_delegate(Rc::clone(node)));
+    task::spawn_local(sharing::poll_upstream_load(Rc::clone(node)));
     for list in [List::Config, List::Upstreams, List::Hosts, List::Quarantine] {
         task::spawn_local(view::follow(Rc::clone(node), list));
     }
-    task::spawn_local(quarantine::keep(Rc::clone(node)));
-    task::spawn_local(quarantine::tell(Rc::clone(node)));
+    task::spawn_local(quarantine::write_to_store(Rc::clone(node)));
+    task::spawn_local(quarantine::broadcast(Rc::clone(node)));
     batch::start(node);
     task::spawn_local(keep_registered(Rc::clone(node)));
     task::spawn_local(check_for_pauses(Rc::clone(node)));
@@ -166,12 +166,12 @@
 /// may apply the unregister call of an earlier start seconds late, after the host has restarted.
 async fn keep_registered(node: Rc<Node>) {
     node.view
-        .hosts_once_known(Instant::now() + HOST_LIST_TIMEOUT)
+        .wait_for_hosts(Instant::now() + HOST_LIST_TIMEOUT)
         .await;
     while !node.stop.is_stopping() {
         if node.view.is_listed(node.sharing.own()) {
             node.view
-                .host_taken_off(node.sharing.own(), Instant::now())
+                .wait_until_deregistered(node.sharing.own(), Instant::now())
                 .await;
             continue;
         }
@@ -179,7 +179,7 @@
         match node.store.register(node.sharing.own(), until).await {
             Ok(()) => {
                 node.view
-                    .host_taken_off(node.sharing.own(), Instant::now())
+                    .wait_until_deregistered(node.sharing.own(), Instant::now())
                     .await
             }
             Err(error) => {
--- a/crates/tinbank-gateway/src/serve.rs
+++ b/crates/tinbank-gateway/src/serve.rs
@@ -126,7 +126,7 @@
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
-    Ok(response.map(|body| relay::hold(body, work)))
+    Ok(response.map(|body| relay::with_work_guard(body, work)))
 }
 
 async fn respond(node: &Rc<Node>, request: Request<Incoming>) -> Response<Body> {
@@ -175,6 +175,6 @@
             batch::results::page(node, &job, *from, *wait).await
         }
         JobOperation::Body { item } => batch::results::body(node, &job, item).await,
-        JobOperation::Cancel => batch::intake::end(node, job).await,
+        JobOperation::Cancel => batch::submission::cancel(node, job).await,
     }
 }
--- a/crates/tinbank-gateway/src/watch.rs
+++ b/crates/tinbank-gateway/src/watch.rs
@@ -13,8 +13,8 @@
 use async_trait::async_trait;
 use bytes::Bytes;
 use tinbank_allocator::directory::Peer;
-use tinbank_feed::source::Lead;
-use tinbank_quarantine::{Fingerprint, Held};
+use tinbank_feed::source::FirstDelegate;
+use tinbank_quarantine::{Fingerprint, Quarantined};
 use tokio::sync::Notify;
 
 use crate::{
@@ -169,12 +169,16 @@
         self.call(self.store.unregister(host, until)).await
     }
 
-    async fn register_first_delegate(&self, lead: &Lead, until: Instant) -> Result<(), Error> {
+    async fn register_first_delegate(
+        &self,
+        lead: &FirstDelegate,
+        until: Instant,
+    ) -> Result<(), Error> {
         self.call(self.store.register_first_delegate(lead, until))
             .await
     }
 
-    async fn quarantine(&self, held: &Held, until: Instant) -> Result<(), Error> {
+    async fn quarantine(&self, held: &Quarantined, until: Instant) -> Result<(), Error> {
         self.call(self.store.quarantine(held, until)).await
     }
 
