--- a/crates/tinbank-gateway/src/border/ingress.rs
+++ b/crates/tinbank-gateway/src/border/ingress.rs
@@ -90,7 +90,7 @@
 /// An item of a submitted job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Item {
-    /// The part that every delegate keeps in memory.
+    /// The part that every host knows.
     pub item: record::Item,
     /// Headers and body of its request.
     pub content: Content,
--- a/crates/tinbank-gateway/src/border/store.rs
+++ b/crates/tinbank-gateway/src/border/store.rs
@@ -20,7 +20,7 @@
     /// The call had no effect: it did not reach the store, or the store reported so.
     #[error("no effect: {0}")]
     NoEffect(String),
-    /// The store refused the call because of its load; the call had no effect.
+    /// The store refused the call because it is busy; the call had no effect.
     #[error("refused: {0}")]
     Busy(String),
     /// The call may have taken effect, or may still take effect within seconds.
@@ -202,7 +202,7 @@
         until: Instant,
     ) -> Result<(), Error>;
     /// Quarantines a request.
-    async fn quarantine(&self, held: &Quarantined, until: Instant) -> Result<(), Error>;
+    async fn quarantine(&self, quarantined: &Quarantined, until: Instant) -> Result<(), Error>;
     /// Lifts the quarantine of a request.
     async fn lift_quarantine(&self, request: Fingerprint, until: Instant) -> Result<(), Error>;
     /// Joins a group, or renews the membership.
--- a/crates/tinbank-gateway/src/node.rs
+++ b/crates/tinbank-gateway/src/node.rs
@@ -49,7 +49,7 @@
     /// How long callers wait for a response.
     caller_timeout: CallerTimeout,
     first_event: SmoothedDuration,
-    held: SmoothedDuration,
+    slot_time: SmoothedDuration,
 }
 
 impl Node {
@@ -82,15 +82,15 @@
         }
     }
 
-    /// Invalidates all cached state if the process was paused, and returns the number of pauses so far. It is called for each
-    /// incoming call and before each send, because the periodic check may come too late.
+    /// Invalidates state that may be outdated if the process was paused, and returns the number of pauses so far. It is called
+    /// for each incoming call and before each send, because the periodic check may come too late.
     pub fn check_for_pause(&self) -> PauseCount {
         let now = ClockReading::read();
         let pauses = self.clock.check(now);
         let Some(pause) = self.clock.take_pause() else {
             return pauses;
         };
-        log::warn!(pause_ms = pause.as_millis() as u64; "process was paused, reading all state again");
+        log::warn!(pause_ms = pause.as_millis() as u64; "process was paused, reading everything again");
         self.view.invalidate_config();
         self.batch.invalidate_membership();
         self.sharing.reset_after_pause(now.monotonic);
@@ -123,7 +123,7 @@
     pub fn usual(&self, route: &Route) -> RouteTimings {
         self.with_stats(route, |it| RouteTimings {
             first_event: it.first_event.get(),
-            slot_time: it.held.get(),
+            slot_time: it.slot_time.get(),
         })
     }
 
@@ -134,7 +134,7 @@
 
     /// Records how long a completed request held its slot.
     pub fn record_slot_time(&self, route: &Route, time: Duration) {
-        self.with_stats(route, |it| it.held.record(time));
+        self.with_stats(route, |it| it.slot_time.record(time));
     }
 
     fn with_stats<T>(&self, route: &Route, apply: impl FnOnce(&mut RouteStats) -> T) -> T {
--- a/crates/tinbank-gateway/src/watch.rs
+++ b/crates/tinbank-gateway/src/watch.rs
@@ -178,8 +178,8 @@
             .await
     }
 
-    async fn quarantine(&self, held: &Quarantined, until: Instant) -> Result<(), Error> {
-        self.call(self.store.quarantine(held, until)).await
+    async fn quarantine(&self, quarantined: &Quarantined, until: Instant) -> Result<(), Error> {
+        self.call(self.store.quarantine(quarantined, until)).await
     }
 
     async fn lift_quarantine(&self, request: Fingerprint, until: Instant) -> Result<(), Error> {
