--- a/crates/tinbank-entry/tests/soak/faults.rs
+++ b/crates/tinbank-entry/tests/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Faults in random order, overlapping and repeated.
+//! Random faults, which may overlap and repeat.
 
 use std::time::Duration;
 
@@ -12,17 +12,17 @@
     standin::{engine, store},
 };
 
-/// Plays faults until then.
-pub async fn play(deployment: &Deployment, mut random: StdRng, until: Instant) {
+/// Injects faults until `until`.
+pub async fn inject(deployment: &Deployment, mut random: StdRng, until: Instant) {
     while Instant::now() < until {
-        fault(deployment, &mut random).await;
+        inject_one(deployment, &mut random).await;
         let pause = random.random_range(20..220);
         time::sleep(Duration::from_millis(pause)).await;
     }
 }
 
-/// One fault begins, or one ends: each kind sets a state that a later one may set back.
-async fn fault(deployment: &Deployment, random: &mut StdRng) {
+/// Starts or ends one fault. Each fault sets a state that a later one may reset.
+async fn inject_one(deployment: &Deployment, random: &mut StdRng) {
     let host = &deployment.hosts[random.random_range(0..deployment.hosts.len())];
     let index = random.random_range(0..deployment.engines.len());
     match random.random_range(0..15) {
@@ -47,10 +47,10 @@
 fn store_mode(random: &mut StdRng) -> store::Mode {
     match random.random_range(0..5) {
         0 => store::Mode::Busy,
-        1 => store::Mode::LosesAnswers,
-        2 => store::Mode::Silent,
-        3 => store::Mode::Deaf,
-        _ => store::Mode::LosesSomeAnswers,
+        1 => store::Mode::DropsAnswers,
+        2 => store::Mode::Unresponsive,
+        3 => store::Mode::IgnoresLongPolls,
+        _ => store::Mode::DropsSomeAnswers,
     }
 }
 
@@ -58,7 +58,7 @@
     match random.random_range(0..7) {
         0 => proxy::Mode::Delay,
         1 => proxy::Mode::Reset,
-        2 => proxy::Mode::Silent,
+        2 => proxy::Mode::Unresponsive,
         3 => proxy::Mode::OneWay,
         _ => proxy::Mode::Pass,
     }
@@ -66,11 +66,11 @@
 
 fn engine_mode(random: &mut StdRng) -> engine::Mode {
     match random.random_range(0..8) {
-        0 => engine::Mode::BreaksOff(random.random_range(0..engine::EVENTS)),
-        1 => engine::Mode::FallsSilent(random.random_range(0..engine::EVENTS)),
+        0 => engine::Mode::BreaksAfter(random.random_range(0..engine::EVENTS)),
+        1 => engine::Mode::StallsAfter(random.random_range(0..engine::EVENTS)),
         2 => engine::Mode::Sheds,
         3 => engine::Mode::Fails,
-        4 => engine::Mode::LosesAnswer,
-        _ => engine::Mode::Runs,
+        4 => engine::Mode::DropsAnswer,
+        _ => engine::Mode::Serves,
     }
 }
--- a/crates/tinbank-gateway/src/feed.rs
+++ b/crates/tinbank-gateway/src/feed.rs
@@ -94,7 +94,7 @@
             // They change with each heartbeat of an upstream, so each reader is a high load on the store.
             List::Upstreams | List::Hosts => self.reads_lists(),
             List::Config | List::Quarantine => self.is_delegate(),
-            List::Leads => false,
+            List::FirstDelegates => false,
         };
         let is_bootstrapping = self.is_registered.get() && !self.has_hosts.get();
         knows_nobody || by_role || is_bootstrapping || self.lacks_source.get()
--- a/crates/tinbank-gateway/src/feed/bootstrap.rs
+++ b/crates/tinbank-gateway/src/feed/bootstrap.rs
@@ -72,7 +72,10 @@
 
 async fn first_delegates(node: &Node) -> Result<Vec<FirstDelegate>, Error> {
     let until = Instant::now() + CALL_TIMEOUT;
-    let page = node.store.read_newest(List::Leads, None, until).await?;
+    let page = node
+        .store
+        .read_newest(List::FirstDelegates, None, until)
+        .await?;
     let entries = page.entries.into_iter();
     let first_delegates = entries.filter_map(|written| match written {
         ListEntry::FirstDelegate(first_delegate) => Some(first_delegate),
@@ -103,7 +106,11 @@
         address: node.sharing.own().address,
     };
     let until = Instant::now() + CALL_TIMEOUT;
-    match node.store.set_first_delegate(&first_delegate, until).await {
+    match node
+        .store
+        .register_first_delegate(&first_delegate, until)
+        .await
+    {
         Ok(()) => {
             log::info!(failure_domain:% = first_delegate.failure_domain; "registered as the first delegate");
             true
--- a/crates/tinbank-gateway/src/relay/online.rs
+++ b/crates/tinbank-gateway/src/relay/online.rs
@@ -286,7 +286,7 @@
     /// Records that the complete answer was received.
     pub fn record_completion(&self) {
         if let Some(at) = self.sent_at {
-            self.node.record_hold_time(&self.route, at.elapsed());
+            self.node.record_slot_time(&self.route, at.elapsed());
         }
     }
 
--- a/crates/tinbank-gateway/src/view.rs
+++ b/crates/tinbank-gateway/src/view.rs
@@ -234,7 +234,7 @@
     fn max_wait(&self, list: List, now: Instant) -> Duration {
         match list {
             List::Config | List::Hosts => return READ_WAIT,
-            List::Quarantine | List::Leads => return LONG_READ_WAIT,
+            List::Quarantine | List::FirstDelegates => return LONG_READ_WAIT,
             List::Upstreams => {}
         }
         let settles_at = self.upstreams.borrow().missing_expire_at();
--- a/crates/tinbank-gateway/src/view/entries.rs
+++ b/crates/tinbank-gateway/src/view/entries.rs
@@ -35,7 +35,7 @@
         }
         List::Hosts => apply_hosts(view, entries, whole),
         // Read only during bootstrap.
-        List::Leads => false,
+        List::FirstDelegates => false,
     };
     view.lists.of(list).advance(end, changed);
     record_read(node, list, now, changed);
@@ -60,7 +60,7 @@
             }
             node.feed.on_hosts_read(&node.sharing, Instant::now());
         }
-        List::Quarantine | List::Leads => {}
+        List::Quarantine | List::FirstDelegates => {}
     }
 }
 
