--- a/crates/tinbank-admission/src/burst.rs
+++ b/crates/tinbank-admission/src/burst.rs
@@ -48,9 +48,9 @@
         rise
     }
 
-    /// Slots to keep free, at `lean` per cent of the largest rise.
-    pub(crate) fn headroom(&self, lean: u16, now: Instant) -> u16 {
-        let room = self.faded(now) * f64::from(lean) / 100.0;
+    /// Slots to keep free, at `lean_percent` per cent of the largest rise.
+    pub(crate) fn headroom(&self, lean_percent: u16, now: Instant) -> u16 {
+        let room = self.faded(now) * f64::from(lean_percent) / 100.0;
         // A trace of an old burst must not keep a slot empty for ever.
         (room - 0.25).ceil().max(0.0) as u16
     }
--- a/crates/tinbank-admission/src/controller.rs
+++ b/crates/tinbank-admission/src/controller.rs
@@ -29,7 +29,7 @@
 pub const ON_THE_WAY: Duration = Duration::from_millis(200);
 /// Time that a new controller learns before it grants: all grants of the one before have run out, and every online
 /// process has told its load.
-pub const LEARN: Duration = Duration::from_millis(3_500);
+pub const LEARNING_PERIOD: Duration = Duration::from_millis(3_500);
 /// A load that is not told again within this time is gone with its process.
 pub const LOAD_HOLDS: Duration = Duration::from_secs(25);
 /// A wish that is not repeated within this time is gone; two repetitions may be lost.
@@ -48,12 +48,12 @@
 pub struct Settings {
     /// Part of a learned burst that is kept free, in per cent: 100 keeps room for the largest rise seen lately, 50
     /// is for throughput. See `docs/design/admission.md` for the curve.
-    pub lean: u16,
+    pub lean_percent: u16,
 }
 
 impl Default for Settings {
     fn default() -> Self {
-        Self { lean: 100 }
+        Self { lean_percent: 100 }
     }
 }
 
@@ -231,7 +231,7 @@
         // Whatever was granted before runs out while we learn.
         *seat = Seat {
             rank,
-            learned: now + LEARN,
+            learned: now + LEARNING_PERIOD,
             online: std::mem::take(&mut seat.online),
             burst: seat.burst.clone(),
             ..Seat::new(seat.slots, now)
@@ -248,7 +248,7 @@
             expires: now + LOAD_HOLDS,
         };
         let before = seat.online_total();
-        let headroom = seat.burst.headroom(settings.lean, now);
+        let headroom = seat.burst.headroom(settings.lean_percent, now);
         if load.online == 0 {
             seat.online.remove(&from);
         } else {
@@ -313,7 +313,7 @@
         Self {
             slots,
             rank: Rank::Other,
-            learned: now + LEARN,
+            learned: now + LEARNING_PERIOD,
             online: BTreeMap::new(),
             burst: Burst::new(slots.div_ceil(GUESSED_BURST), now),
             lots: Lots::default(),
@@ -329,7 +329,7 @@
 
     fn budget(&self, settings: Settings, now: Instant) -> Budget {
         let free = self.slots.saturating_sub(self.online_total());
-        let headroom = self.burst.headroom(settings.lean, now);
+        let headroom = self.burst.headroom(settings.lean_percent, now);
         Budget {
             grow_to: free.saturating_sub(headroom),
             most: free.saturating_sub(headroom.div_ceil(2)),
--- a/crates/tinbank-admission/src/lib.rs
+++ b/crates/tinbank-admission/src/lib.rs
@@ -1,7 +1,7 @@
 //! Grants batch credits on each engine so that online requests never wait behind batch work.
 //!
 //! [`controller::Controller`] and [`holder::Holder`] decide and do no I/O; [`Service`] drives both in a batch process,
-//! and [`Teller`] tells controllers the load of an online process. See `docs/design/admission.md`.
+//! and [`LoadReporter`] tells controllers the load of an online process. See `docs/design/admission.md`.
 
 mod burst;
 pub mod controller;
@@ -10,10 +10,10 @@
 mod rank;
 mod service;
 mod share;
-mod teller;
+mod load_reporter;
 mod wishes;
 
 pub use controller::{Engine, Settings};
 pub use gate::{Gate, Pass};
 pub use service::Service;
-pub use teller::Teller;
+pub use load_reporter::LoadReporter;
--- a/crates/tinbank-admission/src/teller.rs
+++ b/crates/tinbank-admission/src/load_reporter.rs
@@ -29,11 +29,11 @@
 
 /// Tells loads from a task on the runtime that started it.
 #[derive(Clone, Debug)]
-pub struct Teller {
+pub struct LoadReporter {
     loads: mpsc::UnboundedSender<Load>,
 }
 
-impl Teller {
+impl LoadReporter {
     /// Starts to tell on the current runtime.
     pub fn start(peers: Arc<dyn Peers>, directory: Arc<dyn Directory>) -> Self {
         let (loads, receiver) = mpsc::unbounded_channel();
--- a/crates/tinbank-admission/src/service.rs
+++ b/crates/tinbank-admission/src/service.rs
@@ -93,7 +93,7 @@
     }
 
     /// Takes in a datagram; call it from [`tinbank_base::peer::Answer::on_credit`].
-    pub fn told(&self, from: Writer, message: Message) {
+    pub fn on_message(&self, from: Writer, message: Message) {
         self.event(Event::Told(from, message));
     }
 
--- a/crates/tinbank-admission/tests/bursts.rs
+++ b/crates/tinbank-admission/tests/bursts.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use proptest::{prelude::*, test_runner::RngSeed};
-use tinbank_admission::controller::{Event, HOLDS, LEARN, ON_THE_WAY, Rank};
+use tinbank_admission::controller::{Event, HOLDS, LEARNING_PERIOD, ON_THE_WAY, Rank};
 use world::{CANCEL, ENGINE, LATENCY, World, batch};
 
 const SLOTS: u16 = 16;
@@ -173,7 +173,7 @@
     let holder = &mut world.holders.get_mut(&batch(3)).unwrap().holder;
     holder.set_controller(ENGINE, Some(batch(2)));
 
-    world.run(LEARN - millis(50));
+    world.run(LEARNING_PERIOD - millis(50));
     assert_eq!(world.batch_total(), 0, "what the lost one gave ran out");
 
     world.run(Duration::from_secs(8));
--- a/crates/tinbank-admission/tests/service.rs
+++ b/crates/tinbank-admission/tests/service.rs
@@ -7,7 +7,7 @@
 };
 
 use async_trait::async_trait;
-use tinbank_admission::{Engine, Gate, Pass, Service, Settings, Teller};
+use tinbank_admission::{Engine, Gate, Pass, Service, Settings, LoadReporter};
 use tinbank_base::{
     frame::{
         credit::Message,
@@ -69,24 +69,24 @@
 
     fn send_credit(&self, _: SocketAddr, message: Message) {
         if let Some(service) = &*self.service.lock().unwrap() {
-            service.told(writer(2, Role::Online), message);
+            service.on_message(writer(2, Role::Online), message);
         }
     }
 
     fn send_demand(&self, _to: SocketAddr, _message: demand::Message) {}
 }
 
-fn start(lean: u16) -> (Service, Teller) {
+fn start(lean_percent: u16) -> (Service, LoadReporter) {
     let wire = Arc::new(Wire::default());
     let own = writer(1, Role::Batch);
-    let service = Service::start(Settings { lean }, own, wire.clone(), directory());
+    let service = Service::start(Settings { lean_percent }, own, wire.clone(), directory());
     *wire.service.lock().unwrap() = Some(service.clone());
     let engine = Engine {
         upstream: ENGINE,
         slots: SLOTS,
     };
     service.set_engines(vec![engine]);
-    (service, Teller::start(wire, directory()))
+    (service, LoadReporter::start(wire, directory()))
 }
 
 /// Wishes and enters until `count` requests are in, as the runner of items does.
--- a/crates/tinbank-admission/tests/world/mod.rs
+++ b/crates/tinbank-admission/tests/world/mod.rs
@@ -133,7 +133,7 @@
 }
 
 impl World {
-    pub fn new(slots: u16, lean: u16, holders: &[(u32, &str, u16)], seed: u64) -> Self {
+    pub fn new(slots: u16, lean_percent: u16, holders: &[(u32, &str, u16)], seed: u64) -> Self {
         let now = Instant::now();
         let mut world = Self {
             now,
@@ -152,7 +152,7 @@
             random: SmallRng::seed_from_u64(seed),
         };
         for (host, rank) in [(1, Rank::First), (2, Rank::Second)] {
-            let mut controller = Controller::new(Settings { lean });
+            let mut controller = Controller::new(Settings { lean_percent });
             let engine = Engine {
                 upstream: ENGINE,
                 slots,
@@ -181,8 +181,8 @@
     }
 
     /// A world in which batch has what it can have.
-    pub fn filled(slots: u16, lean: u16, holders: &[(u32, &str, u16)], seed: u64) -> Self {
-        let mut world = Self::new(slots, lean, holders, seed);
+    pub fn filled(slots: u16, lean_percent: u16, holders: &[(u32, &str, u16)], seed: u64) -> Self {
+        let mut world = Self::new(slots, lean_percent, holders, seed);
         world.run(Duration::from_secs(8));
         world.worst_excess = 0;
         world.excess_time = Duration::ZERO;
--- a/crates/tinbank-batch/src/server.rs
+++ b/crates/tinbank-batch/src/server.rs
@@ -139,7 +139,7 @@
     let table = Table::new(common.failure_domain.clone(), Instant::now());
     let admission = AdmissionService::start(
         tinbank_admission::Settings {
-            lean: settings.lean_percent,
+            lean_percent: settings.lean_percent,
         },
         core.writer,
         core.peers(),
--- a/crates/tinbank-load/src/slopes/controller.rs
+++ b/crates/tinbank-load/src/slopes/controller.rs
@@ -4,7 +4,7 @@
 
 use tinbank_admission::{
     Engine, Settings,
-    controller::{Controller, Event, LEARN, Rank},
+    controller::{Controller, Event, LEARNING_PERIOD, Rank},
 };
 use tinbank_base::{
     frame::credit::{Load, Wish},
@@ -111,7 +111,7 @@
             controller.handle(load_of(upstream, online, 1), start);
         }
     }
-    let now = start + LEARN + TICK;
+    let now = start + LEARNING_PERIOD + TICK;
     for upstream in 1..=2 * OWN {
         for holder in 0..holders {
             controller.handle(wish_of(upstream, holder, 2), now);
--- a/crates/tinbank-load/src/slopes/fleet.rs
+++ b/crates/tinbank-load/src/slopes/fleet.rs
@@ -1,4 +1,4 @@
-//! Admission control of a whole fleet in real time: the real [`Teller`] and [`Service`] of each host, with frames signed
+//! Admission control of a whole fleet in real time: the real [`LoadReporter`] and [`Service`] of each host, with frames signed
 //! and counted but handed over in memory. No sockets are used, so sending and receiving are not in the times.
 
 use std::{
@@ -15,7 +15,7 @@
 use async_trait::async_trait;
 use cpu_time::ThreadTime;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
-use tinbank_admission::{Engine, Gate, Pass, Service, Settings, Teller};
+use tinbank_admission::{Engine, Gate, Pass, Service, Settings, LoadReporter};
 use tinbank_base::{
     clock::Stamp,
     frame::{
@@ -209,7 +209,7 @@
         }
         let services = self.services.get();
         if let Some(service) = services.and_then(|services| services.get(&to)) {
-            service.told(self.own, message);
+            service.on_message(self.own, message);
         }
     }
 
@@ -226,7 +226,7 @@
 }
 
 struct Host {
-    teller: Teller,
+    teller: LoadReporter,
     service: Service,
     online: BTreeMap<id::Upstream, u16>,
     requests: Vec<(Instant, id::Upstream)>,
@@ -274,7 +274,7 @@
                 service.set_engines((1..=engines).map(engine).collect());
                 let used = 0..ENGINES_IN_USE.min(engines);
                 Host {
-                    teller: Teller::start(wire(Role::Online), directory.clone()),
+                    teller: LoadReporter::start(wire(Role::Online), directory.clone()),
                     service,
                     online: BTreeMap::new(),
                     requests: Vec::new(),
--- a/crates/tinbank-online/src/control/mod.rs
+++ b/crates/tinbank-online/src/control/mod.rs
@@ -7,7 +7,7 @@
 
 use std::sync::Arc;
 
-use tinbank_admission::Teller;
+use tinbank_admission::LoadReporter;
 use tinbank_process::{Core, hosts::Watch, upstreams};
 use tinbank_routing::Table;
 
@@ -16,7 +16,7 @@
 use crate::{clock, context::Context};
 
 /// Starts the control tasks on the current runtime. They end with the process.
-pub(crate) fn start(core: &Core, ctx: &Arc<Context>, teller: Teller, reports_per_second: u32) {
+pub(crate) fn start(core: &Core, ctx: &Arc<Context>, teller: LoadReporter, reports_per_second: u32) {
     let table = &ctx.table;
     core.spawn(list(core.hosts(), table.clone()));
     upstreams::follow(core, table, reports_per_second);
--- a/crates/tinbank-online/src/server.rs
+++ b/crates/tinbank-online/src/server.rs
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-use tinbank_admission::Teller;
+use tinbank_admission::LoadReporter;
 use tinbank_base::{id, record::Writer};
 use tinbank_process::{Core, Runtimes, on_control};
 use tinbank_routing::{Table, retry::Budget};
@@ -133,7 +133,7 @@
         ctx: ctx.clone(),
     };
     core.join(http_address, Arc::new(answerer)).await;
-    let teller = Teller::start(core.peers(), core.clone());
+    let teller = LoadReporter::start(core.peers(), core.clone());
     control::start(&core, &ctx, teller, settings.reports_per_second);
     Ok(Server {
         core,
