--- a/crates/tinbank-admission/src/controller.rs
+++ b/crates/tinbank-admission/src/controller.rs
@@ -1,6 +1,6 @@
-//! The controller of engines: a state machine that grants batch credits so that room for a burst stays free.
+//! Controller of engines: a state machine that grants batch credits and keeps slots free for bursts of online requests.
 //!
-//! It runs in every batch process, for the engines that the process is first or second in rank for. See
+//! It runs in every batch process, for the engines for which the process ranks first or second. See
 //! `docs/design/admission.md`.
 
 use std::{
@@ -15,39 +15,39 @@
 
 use crate::{
     burst::Burst,
-    share::{Claimant, Lot, Lots, Weights},
+    share::{Claimant, Allocation, Allocations, Weights},
 };
 
-/// How long a grant holds at its receiver.
-pub const HOLDS: Duration = Duration::from_millis(3_000);
-/// How long a word of the second controller holds.
-pub const CAP_HOLDS: Duration = Duration::from_millis(1_000);
-/// Time between renewals of a grant: three may be lost before it runs out, so that a tenth of the frames lost costs
-/// no batch.
-pub const RENEW: Duration = Duration::from_millis(700);
-/// Time that a grant may be on its way; longer ones are the receiver's pause, which it notices itself.
-pub const ON_THE_WAY: Duration = Duration::from_millis(200);
-/// Time that a new controller learns before it grants: all grants of the one before have run out, and every online
-/// process has told its load.
+/// Validity of a grant, from its receipt.
+pub const GRANT_TTL: Duration = Duration::from_millis(3_000);
+/// Validity of a withdrawal by the second controller, from its receipt.
+pub const WITHDRAWAL_TTL: Duration = Duration::from_millis(1_000);
+/// Time between renewals of a grant. A grant survives three lost renewals.
+pub const RENEWAL_INTERVAL: Duration = Duration::from_millis(700);
+/// Longest time a grant is assumed to spend in transit. A longer delay means that the receiver paused, which the
+/// receiver detects itself.
+pub const MAX_TRANSIT_TIME: Duration = Duration::from_millis(200);
+/// Time that a new controller waits before its first grant, so that all grants of its predecessor have expired and every
+/// online process has reported its load.
 pub const LEARNING_PERIOD: Duration = Duration::from_millis(3_500);
-/// A load that is not told again within this time is gone with its process.
-pub const LOAD_HOLDS: Duration = Duration::from_secs(25);
-/// A wish that is not repeated within this time is gone; two repetitions may be lost.
-pub const WISH_HOLDS: Duration = Duration::from_secs(17);
-/// Times that a lowered grant is repeated, so that a lost frame delays it by one tick only.
-const REPEATS: u8 = 2;
-/// Time between moves of a credit for the sake of shares; a move cancels an item.
-const REBALANCE: Duration = Duration::from_secs(4);
-/// Part of the slots by which online load may rise without a word of the second controller, however small the headroom.
-const SMALL_RISE: u16 = 8;
-/// Part of the slots that is taken for a burst until one is seen.
-const GUESSED_BURST: u16 = 4;
+/// Validity of a reported load.
+pub const LOAD_TTL: Duration = Duration::from_secs(25);
+/// Validity of a wish. It survives two lost repetitions.
+pub const WISH_TTL: Duration = Duration::from_secs(17);
+/// Number of times a lowered grant is repeated, so that a lost frame delays it by only one tick.
+const LOWERED_GRANT_REPEATS: u8 = 2;
+/// Time between moves of a credit from one customer to another. Each move cancels an item.
+const REBALANCE_INTERVAL: Duration = Duration::from_secs(4);
+/// The second controller ignores a rise of up to `1 / SMALL_RISE_DIVISOR` of the slots even if the headroom is smaller.
+const SMALL_RISE_DIVISOR: u16 = 8;
+/// Until a burst is observed, its size is assumed to be `1 / INITIAL_BURST_DIVISOR` of the slots.
+const INITIAL_BURST_DIVISOR: u16 = 4;
 
 /// Parameters of admission control.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Part of a learned burst that is kept free, in per cent: 100 keeps room for the largest rise seen lately, 50
-    /// is for throughput. See `docs/design/admission.md` for the curve.
+    /// Part of the largest recent burst that is kept free, in per cent. Less favours batch throughput over the latency of
+    /// online requests; see `docs/design/admission.md`.
     pub lean_percent: u16,
 }
 
@@ -60,132 +60,120 @@
 /// An engine that batch may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Engine {
-    /// Which engine.
     pub upstream: id::Upstream,
-    /// Requests it runs at once.
+    /// Number of requests it runs concurrently.
     pub slots: u16,
 }
 
-/// What we are to an engine.
+/// Rank of this process among the controllers of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rank {
-    /// We grant.
+    /// Grants credits.
     First,
-    /// We may only withdraw.
+    /// May only withdraw credits.
     Second,
-    /// Nothing.
+    /// Has no part in the control of the engine.
     Other,
 }
 
-/// What happened.
+/// An input of the controller.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Some time has passed; come every 100 ms.
+    /// Time has passed. Expected every 100 ms.
     Tick,
-    /// An online process told its load.
+    /// An online process reported its load.
     Load {
-        /// Who.
         from: id::Process,
-        /// What.
         load: Load,
     },
-    /// A batch process wishes for credits.
+    /// A batch process requests credits.
     Wish {
-        /// Who.
         from: id::Process,
-        /// What.
         wish: Wish,
     },
-    /// Our rank for an engine is another one.
+    /// The rank of this process for an engine changed.
     Rank {
-        /// Which engine.
         upstream: id::Upstream,
-        /// Our rank.
         rank: Rank,
     },
-    /// The engines that batch may use.
+    /// The engines that batch may use changed.
     Engines(Vec<Engine>),
-    /// Customers' weights.
+    /// The customers' weights changed.
     Shares(BTreeMap<id::Customer, u32>),
 }
 
-/// What is to be told to a batch process.
+/// A message to send to a batch process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Its credits.
+    /// Sets its credits.
     Grant {
-        /// To whom.
         to: id::Process,
-        /// What.
         grant: Grant,
     },
-    /// No more than this for now.
+    /// Caps its credits for a while.
     Withdraw {
-        /// To whom.
         to: id::Process,
-        /// What.
         grant: Grant,
     },
 }
 
-/// All that a controller knows.
+/// The state machine of the controller, for all engines.
 #[derive(Clone, Debug)]
 pub struct Controller {
     settings: Settings,
     weights: Weights,
-    engines: BTreeMap<id::Upstream, Seat>,
+    engines: BTreeMap<id::Upstream, EngineState>,
     round: u64,
 }
 
-/// One engine.
+/// State of one engine.
 #[derive(Clone, Debug)]
-struct Seat {
+struct EngineState {
     slots: u16,
     rank: Rank,
-    /// From when on we may grant.
-    learned: Instant,
-    online: BTreeMap<id::Process, Told>,
+    /// Time from which credits may be granted.
+    grants_from: Instant,
+    online: BTreeMap<id::Process, ReportedLoad>,
     burst: Burst,
-    lots: Lots,
-    holders: BTreeMap<id::Process, Holder>,
-    rebalance: Instant,
+    allocations: Allocations,
+    holders: BTreeMap<id::Process, HolderState>,
+    next_rebalance: Instant,
 }
 
-/// Batch requests that may sit in an engine. Half of the headroom lies between the two bounds, so that each online
-/// request that comes and goes does not cancel an item.
+/// Bounds on the number of batch credits for an engine. Half of the headroom lies between the two, so that a single online
+/// request does not cancel an item.
 #[derive(Clone, Copy, Debug)]
 struct Budget {
-    /// Credits are given up to here: all of the headroom stays free.
+    /// Credits are granted up to this number: all of the headroom stays free.
     grow_to: u16,
-    /// Credits are withdrawn down to here: half of the headroom stays free.
-    most: u16,
+    /// Credits above this number are withdrawn: half of the headroom stays free.
+    shrink_to: u16,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Told {
+struct ReportedLoad {
     online: u16,
     expires: Instant,
 }
 
-/// What a batch process was told.
+/// Grants sent to one batch process.
 #[derive(Clone, Debug)]
-struct Holder {
+struct HolderState {
     credits: u16,
-    renew: Instant,
-    repeats: u8,
-    /// Grants that may still be in force there, with when they surely are not.
-    sent: Vec<(u16, Instant)>,
+    renew_at: Instant,
+    repeats_left: u8,
+    /// Credits of the grants that may still be valid at the holder, each with the time by which it has expired.
+    outstanding: Vec<(u16, Instant)>,
 }
 
-impl Holder {
-    fn in_force(&self) -> u16 {
-        let sent = self.sent.iter().map(|(credits, _)| *credits);
-        sent.max().unwrap_or_default()
+impl HolderState {
+    fn max_outstanding(&self) -> u16 {
+        let outstanding = self.outstanding.iter().map(|(credits, _)| *credits);
+        outstanding.max().unwrap_or_default()
     }
 }
 
 impl Controller {
-    /// Knows no engine yet.
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
@@ -195,13 +183,13 @@
         }
     }
 
-    /// Takes in an event and tells what to send.
+    /// Applies an event and returns the messages to send.
     pub fn handle(&mut self, event: Event, now: Instant) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
             Event::Tick => self.tick(now, &mut actions),
-            Event::Load { from, load } => self.load(from, load, now, &mut actions),
-            Event::Wish { from, wish } => self.wish(from, wish, now),
+            Event::Load { from, load } => self.on_load(from, load, now, &mut actions),
+            Event::Wish { from, wish } => self.on_wish(from, wish, now),
             Event::Rank { upstream, rank } => self.set_rank(upstream, rank, now),
             Event::Engines(engines) => self.set_engines(&engines, now),
             Event::Shares(shares) => self.weights = shares,
@@ -213,118 +201,118 @@
         self.engines
             .retain(|upstream, _| engines.iter().any(|engine| engine.upstream == *upstream));
         for engine in engines {
-            let seat = self
+            let state = self
                 .engines
                 .entry(engine.upstream)
-                .or_insert_with(|| Seat::new(engine.slots, now));
-            seat.slots = engine.slots;
+                .or_insert_with(|| EngineState::new(engine.slots, now));
+            state.slots = engine.slots;
         }
     }
 
     fn set_rank(&mut self, upstream: id::Upstream, rank: Rank, now: Instant) {
-        let Some(seat) = self.engines.get_mut(&upstream) else {
+        let Some(state) = self.engines.get_mut(&upstream) else {
             return;
         };
-        if seat.rank == rank {
+        if state.rank == rank {
             return;
         }
-        // Whatever was granted before runs out while we learn.
-        *seat = Seat {
+        // Grants of the previous controller expire during the learning period.
+        *state = EngineState {
             rank,
-            learned: now + LEARNING_PERIOD,
-            online: std::mem::take(&mut seat.online),
-            burst: seat.burst.clone(),
-            ..Seat::new(seat.slots, now)
+            grants_from: now + LEARNING_PERIOD,
+            online: std::mem::take(&mut state.online),
+            burst: state.burst.clone(),
+            ..EngineState::new(state.slots, now)
         };
     }
 
-    fn load(&mut self, from: id::Process, load: Load, now: Instant, actions: &mut Vec<Action>) {
+    fn on_load(&mut self, from: id::Process, load: Load, now: Instant, actions: &mut Vec<Action>) {
         let settings = self.settings;
-        let Some(seat) = self.engines.get_mut(&load.upstream) else {
+        let Some(state) = self.engines.get_mut(&load.upstream) else {
             return;
         };
-        let told = Told {
+        let reported = ReportedLoad {
             online: load.online,
-            expires: now + LOAD_HOLDS,
+            expires: now + LOAD_TTL,
         };
-        let before = seat.online_total();
-        let headroom = seat.burst.headroom(settings.lean_percent, now);
+        let before = state.online_total();
+        let headroom = state.burst.headroom(settings.lean_percent, now);
         if load.online == 0 {
-            seat.online.remove(&from);
+            state.online.remove(&from);
         } else {
-            seat.online.insert(from, told);
+            state.online.insert(from, reported);
         }
-        let total = seat.online_total();
-        let rise = seat.burst.note(total, now);
+        let total = state.online_total();
+        let rise = state.burst.record(total, now);
         if total <= before {
             return;
         }
-        let budget = seat.budget(settings, now);
-        match seat.rank {
-            Rank::First if now >= seat.learned => {
-                seat.lots.shrink(budget.most, &self.weights);
-                seat.tell(load.upstream, &mut self.round, now, actions);
+        let budget = state.budget(settings, now);
+        match state.rank {
+            Rank::First if now >= state.grants_from => {
+                state.allocations.shrink(budget.shrink_to, &self.weights);
+                state.send_grants(load.upstream, &mut self.round, now, actions);
             }
-            // The first one may be gone; as long as the burst fits into the headroom that costs nothing.
-            Rank::Second if rise > headroom.max(seat.slots.div_ceil(SMALL_RISE)) => {
-                seat.caution(load.upstream, budget.most, &mut self.round, actions);
+            // The first controller may have failed. A burst that fits into the headroom needs no withdrawal.
+            Rank::Second if rise > headroom.max(state.slots.div_ceil(SMALL_RISE_DIVISOR)) => {
+                state.withdraw(load.upstream, budget.shrink_to, &mut self.round, actions);
             }
             Rank::First | Rank::Second | Rank::Other => {}
         }
     }
 
-    fn wish(&mut self, from: id::Process, wish: Wish, now: Instant) {
-        let Some(seat) = self.engines.get_mut(&wish.upstream) else {
+    fn on_wish(&mut self, from: id::Process, wish: Wish, now: Instant) {
+        let Some(state) = self.engines.get_mut(&wish.upstream) else {
             return;
         };
-        let lot = Lot {
+        let allocation = Allocation {
             wanted: wish.wanted,
             due: now + Duration::from_millis(wish.due_in_ms.into()),
-            expires: now + WISH_HOLDS,
+            expires: now + WISH_TTL,
             credits: 0,
         };
         let claimant = Claimant {
             holder: from,
             customer: wish.customer,
         };
-        seat.lots.wish(claimant, lot);
+        state.allocations.apply_wish(claimant, allocation);
     }
 
     fn tick(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        for (&upstream, seat) in &mut self.engines {
-            seat.expire(now);
-            if seat.rank != Rank::First || now < seat.learned {
+        for (&upstream, state) in &mut self.engines {
+            state.expire(now);
+            if state.rank != Rank::First || now < state.grants_from {
                 continue;
             }
-            let budget = seat.budget(self.settings, now);
-            seat.lots.shrink(budget.most, &self.weights);
-            seat.grow(budget.grow_to, &self.weights);
-            if now >= seat.rebalance {
-                seat.rebalance = now + REBALANCE;
-                seat.lots.rebalance(&self.weights);
+            let budget = state.budget(self.settings, now);
+            state.allocations.shrink(budget.shrink_to, &self.weights);
+            state.grow(budget.grow_to, &self.weights);
+            if now >= state.next_rebalance {
+                state.next_rebalance = now + REBALANCE_INTERVAL;
+                state.allocations.rebalance(&self.weights);
             }
-            seat.tell(upstream, &mut self.round, now, actions);
+            state.send_grants(upstream, &mut self.round, now, actions);
         }
     }
 }
 
-impl Seat {
+impl EngineState {
     fn new(slots: u16, now: Instant) -> Self {
         Self {
             slots,
             rank: Rank::Other,
-            learned: now + LEARNING_PERIOD,
+            grants_from: now + LEARNING_PERIOD,
             online: BTreeMap::new(),
-            burst: Burst::new(slots.div_ceil(GUESSED_BURST), now),
-            lots: Lots::default(),
+            burst: Burst::new(slots.div_ceil(INITIAL_BURST_DIVISOR), now),
+            allocations: Allocations::default(),
             holders: BTreeMap::new(),
-            rebalance: now,
+            next_rebalance: now,
         }
     }
 
     fn online_total(&self) -> u16 {
-        let told = self.online.values().map(|told| told.online);
-        told.fold(0, u16::saturating_add)
+        let reported = self.online.values().map(|reported| reported.online);
+        reported.fold(0, u16::saturating_add)
     }
 
     fn budget(&self, settings: Settings, now: Instant) -> Budget {
@@ -332,102 +320,102 @@
         let headroom = self.burst.headroom(settings.lean_percent, now);
         Budget {
             grow_to: free.saturating_sub(headroom),
-            most: free.saturating_sub(headroom.div_ceil(2)),
+            shrink_to: free.saturating_sub(headroom.div_ceil(2)),
         }
     }
 
     fn expire(&mut self, now: Instant) {
-        self.online.retain(|_, told| told.expires > now);
-        self.lots.expire(now);
+        self.online.retain(|_, reported| reported.expires > now);
+        self.allocations.expire(now);
         for holder in self.holders.values_mut() {
-            holder.sent.retain(|(_, until)| *until > now);
+            holder.outstanding.retain(|(_, until)| *until > now);
         }
         self.holders.retain(|_, holder| {
-            holder.credits > 0 || holder.repeats > 0 || !holder.sent.is_empty()
+            holder.credits > 0 || holder.repeats_left > 0 || !holder.outstanding.is_empty()
         });
     }
 
-    /// Gives out what is free: what was taken from one holder only once it is surely not in force there any more.
+    /// Allocates free credits. Credits taken from a holder become free once they can no longer be valid there.
     fn grow(&mut self, budget: u16, weights: &Weights) {
         loop {
-            let mut next = self.lots.clone();
+            let mut next = self.allocations.clone();
             if next.grow(weights).is_none() || self.committed(&next) > budget {
                 return;
             }
-            self.lots = next;
+            self.allocations = next;
         }
     }
 
-    /// Credits that may be in force once the lots are told.
-    fn committed(&self, lots: &Lots) -> u16 {
-        let mut most = lots.by_holder();
+    /// Returns the number of credits that may be valid at all holders once `allocations` have been sent.
+    fn committed(&self, allocations: &Allocations) -> u16 {
+        let mut most = allocations.by_holder();
         for (process, holder) in &self.holders {
             let credits = most.entry(*process).or_default();
-            *credits = (*credits).max(holder.in_force());
+            *credits = (*credits).max(holder.max_outstanding());
         }
         most.values().copied().fold(0, u16::saturating_add)
     }
 
-    /// Tells holders what has changed, and renews what runs out.
-    fn tell(
+    /// Sends changed grants, repeats lowered ones and renews those about to expire.
+    fn send_grants(
         &mut self,
         upstream: id::Upstream,
         round: &mut u64,
         now: Instant,
         actions: &mut Vec<Action>,
     ) {
-        let mut credits = self.lots.by_holder();
+        let mut credits = self.allocations.by_holder();
         for &process in self.holders.keys() {
             credits.entry(process).or_default();
         }
         for (process, credits) in credits {
-            let holder = self.holders.entry(process).or_insert_with(|| Holder {
+            let holder = self.holders.entry(process).or_insert_with(|| HolderState {
                 credits: 0,
-                renew: now,
-                repeats: 0,
-                sent: Vec::new(),
+                renew_at: now,
+                repeats_left: 0,
+                outstanding: Vec::new(),
             });
             let lowered = credits < holder.credits;
             let raised = credits > holder.credits;
-            let due = credits > 0 && now >= holder.renew;
+            let due = credits > 0 && now >= holder.renew_at;
             if lowered {
-                holder.repeats = REPEATS;
-            } else if holder.repeats > 0 {
-                holder.repeats -= 1;
+                holder.repeats_left = LOWERED_GRANT_REPEATS;
+            } else if holder.repeats_left > 0 {
+                holder.repeats_left -= 1;
             } else if !raised && !due {
                 continue;
             }
             *round += 1;
             holder.credits = credits;
-            holder.renew = now + RENEW;
+            holder.renew_at = now + RENEWAL_INTERVAL;
             if credits > 0 {
-                holder.sent.push((credits, now + HOLDS + ON_THE_WAY));
+                holder.outstanding.push((credits, now + GRANT_TTL + MAX_TRANSIT_TIME));
             }
             let grant = Grant {
                 upstream,
                 round: *round,
                 credits,
-                holds_ms: HOLDS.as_millis() as u16,
+                holds_ms: GRANT_TTL.as_millis() as u16,
             };
             actions.push(Action::Grant { to: process, grant });
         }
     }
 
-    /// As the second in rank: online load rose, so nobody may have more than what is free by our own count.
-    fn caution(
+    /// Caps the credits of each holder at `budget`. Used by the second controller when online load rises.
+    fn withdraw(
         &self,
         upstream: id::Upstream,
         budget: u16,
         round: &mut u64,
         actions: &mut Vec<Action>,
     ) {
-        for to in self.lots.by_holder().into_keys() {
+        for to in self.allocations.by_holder().into_keys() {
             *round += 1;
             let grant = Grant {
                 upstream,
                 round: *round,
                 credits: budget,
-                holds_ms: CAP_HOLDS.as_millis() as u16,
+                holds_ms: WITHDRAWAL_TTL.as_millis() as u16,
             };
             actions.push(Action::Withdraw { to, grant });
         }
--- a/crates/tinbank-admission/src/gate.rs
+++ b/crates/tinbank-admission/src/gate.rs
@@ -1,17 +1,17 @@
-//! The border of admission: batch asks before it sends, and gives way when told.
+//! Interface of admission control for the batch runner, which acquires a pass for each request and cancels the request when
+//! the pass is withdrawn.
 
 use std::{fmt, time::Instant};
 
 use tinbank_base::id;
 use tokio::sync::watch;
 
-/// Leave to have one batch request in an engine. Dropping it gives the leave back.
+/// Permission to have one batch request in an engine. Dropping it returns the credit.
 pub struct Pass {
-    /// Which engine.
     pub upstream: id::Upstream,
-    /// Turns true when the request has to be cancelled at the engine for the sake of online requests.
+    /// Becomes `true` when the request has to be cancelled to free its slot for online requests.
     pub withdrawn: watch::Receiver<bool>,
-    /// Gives the leave back when dropped.
+    /// Returns the credit when dropped.
     pub guard: Box<dyn Send + Sync>,
 }
 
@@ -24,11 +24,12 @@
     }
 }
 
-/// Lets batch requests into engines.
+/// Admits batch requests to engines.
 pub trait Gate: Send + Sync + fmt::Debug {
-    /// Asks for leave to send one batch request of a customer to an engine now.
+    /// Returns a pass for one batch request of a customer to an engine, or `None` if no credit is free.
     fn enter(&self, upstream: id::Upstream, customer: &str, now: Instant) -> Option<Pass>;
 
-    /// Says how many more requests of a customer could use an engine, so that credits are asked for.
+    /// Sets the number of credits that requests of a customer could use at an engine, so that they are requested from its
+    /// controller.
     fn wish(&self, upstream: id::Upstream, customer: &str, wanted: u16, due: Instant, now: Instant);
 }
--- a/crates/tinbank-admission/src/holder.rs
+++ b/crates/tinbank-admission/src/holder.rs
@@ -1,4 +1,4 @@
-//! The holder of credits: a state machine that lets batch requests into engines and takes them out again.
+//! Holder of credits: a state machine that admits batch requests to engines and cancels those that exceed the credits.
 
 use std::{
     collections::BTreeMap,
@@ -7,180 +7,179 @@
 
 use tinbank_base::{frame::credit::Grant, id, record::Writer};
 
-/// Silence of our own control task after which we count as paused; it ticks every 100 ms.
-const PAUSED: Duration = Duration::from_millis(500);
-/// Time after a pause in which grants are not taken: those that waited in the socket are old.
-const DRAIN: Duration = Duration::from_millis(300);
+/// Gap between calls after which this process counts as having been paused; ticks come every 100 ms.
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(500);
+/// Time after a pause in which grants may only lower the credits, since grants read from the socket may be old.
+const DRAIN_PERIOD: Duration = Duration::from_millis(300);
 
-/// Number of a pass.
-pub type Number = u64;
+/// Identifies a pass of this process.
+pub type PassId = u64;
 
-/// What is to be done.
+/// An action for the caller to perform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Cancel the request of this pass at the engine.
-    Cancel(Number),
+    Cancel(PassId),
 }
 
-/// Credits and requests by engine.
+/// Credits and passes of this process, by engine.
 #[derive(Clone, Debug)]
 pub struct Holder {
-    engines: BTreeMap<id::Upstream, Seat>,
-    number: Number,
-    heard: Instant,
-    deaf_until: Instant,
+    engines: BTreeMap<id::Upstream, EngineState>,
+    last_pass: PassId,
+    last_active: Instant,
+    drain_until: Instant,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Seat {
-    /// The process whose grants count.
+struct EngineState {
+    /// The process whose grants are accepted.
     controller: Option<id::Process>,
-    grant: Option<Held>,
-    cap: Option<Held>,
-    /// Last rounds, so that a frame that comes late changes nothing.
-    rounds: BTreeMap<id::Process, (id::Incarnation, u64)>,
-    /// Passes out, the oldest first; cancelled ones stay until they are given back.
-    passes: BTreeMap<Number, bool>,
+    grant: Option<Limit>,
+    cap: Option<Limit>,
+    /// Latest round of each controller. Frames with an earlier one are dropped.
+    last_rounds: BTreeMap<id::Process, (id::Incarnation, u64)>,
+    /// Passes in use, oldest first, and whether they are cancelled. Cancelled ones count until they are returned.
+    passes: BTreeMap<PassId, bool>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct Limit {
     credits: u16,
     until: Instant,
 }
 
 impl Holder {
-    /// Holds nothing yet.
     pub fn new(now: Instant) -> Self {
         Self {
             engines: BTreeMap::new(),
-            number: 0,
-            heard: now,
-            deaf_until: now,
+            last_pass: 0,
+            last_active: now,
+            drain_until: now,
         }
     }
 
-    /// Lets a request in if a credit is free.
-    pub fn enter(&mut self, upstream: id::Upstream, now: Instant) -> Option<Number> {
-        if now.saturating_duration_since(self.heard) > PAUSED {
+    /// Returns a pass if a credit is free.
+    pub fn enter(&mut self, upstream: id::Upstream, now: Instant) -> Option<PassId> {
+        if now.saturating_duration_since(self.last_active) > PAUSE_THRESHOLD {
             return None;
         }
-        let seat = self.engines.get_mut(&upstream)?;
-        if seat.passes.len() >= seat.allowed(now) {
+        let state = self.engines.get_mut(&upstream)?;
+        if state.passes.len() >= state.allowed(now) {
             return None;
         }
-        self.number += 1;
-        seat.passes.insert(self.number, false);
-        Some(self.number)
+        self.last_pass += 1;
+        state.passes.insert(self.last_pass, false);
+        Some(self.last_pass)
     }
 
-    /// Takes a pass back.
-    pub fn leave(&mut self, upstream: id::Upstream, number: Number) {
-        if let Some(seat) = self.engines.get_mut(&upstream) {
-            seat.passes.remove(&number);
+    /// Releases a pass.
+    pub fn leave(&mut self, upstream: id::Upstream, pass: PassId) {
+        if let Some(state) = self.engines.get_mut(&upstream) {
+            state.passes.remove(&pass);
         }
     }
 
-    /// Says whose grants count for an engine. What is held stays until its deadline.
+    /// Sets the process whose grants are accepted for an engine. The current grant stays valid until its deadline.
     pub fn set_controller(&mut self, upstream: id::Upstream, controller: Option<id::Process>) {
         self.engines.entry(upstream).or_default().controller = controller;
     }
 
-    /// Forgets engines that are gone. Requests in them are cancelled.
+    /// Removes the engines that `keep` rejects and cancels the requests in them.
     pub fn retain(&mut self, keep: impl Fn(id::Upstream) -> bool, now: Instant) -> Vec<Action> {
-        for (&upstream, seat) in &mut self.engines {
+        for (&upstream, state) in &mut self.engines {
             if !keep(upstream) {
-                seat.grant = None;
-                seat.controller = None;
+                state.grant = None;
+                state.controller = None;
             }
         }
         self.engines
-            .retain(|&upstream, seat| keep(upstream) || !seat.passes.is_empty());
-        self.settle(now)
+            .retain(|&upstream, state| keep(upstream) || !state.passes.is_empty());
+        self.cancel_excess(now)
     }
 
-    /// Takes in a grant, whether it raises or lowers.
-    pub fn granted(&mut self, from: Writer, grant: Grant, now: Instant) -> Vec<Action> {
-        self.note_time(now);
-        let Some(seat) = self.engines.get_mut(&grant.upstream) else {
+    /// Applies a grant, whether it raises or lowers the credits.
+    pub fn on_grant(&mut self, from: Writer, grant: Grant, now: Instant) -> Vec<Action> {
+        self.detect_pause(now);
+        let Some(state) = self.engines.get_mut(&grant.upstream) else {
             return Vec::new();
         };
-        if seat.controller != Some(from.process) || !seat.is_newer(from, grant.round) {
+        if state.controller != Some(from.process) || !state.is_newer(from, grant.round) {
             return Vec::new();
         }
-        // What lowers is never too old; what waited while we were paused may be.
+        // A grant that raises the credits may be outdated after a pause.
         let mut credits = grant.credits;
-        if now < self.deaf_until {
-            credits = credits.min(seat.credits(now));
+        if now < self.drain_until {
+            credits = credits.min(state.credits(now));
         }
-        seat.grant = Some(Held {
+        state.grant = Some(Limit {
             credits,
             until: now + Duration::from_millis(grant.holds_ms.into()),
         });
-        self.settle(now)
+        self.cancel_excess(now)
     }
 
-    /// Takes in a word of the second controller: it only lowers, for a while.
-    pub fn withdrawn(&mut self, from: Writer, grant: Grant, now: Instant) -> Vec<Action> {
-        self.note_time(now);
-        let Some(seat) = self.engines.get_mut(&grant.upstream) else {
+    /// Applies a withdrawal by the second controller, which caps the credits for a while.
+    pub fn on_withdrawal(&mut self, from: Writer, grant: Grant, now: Instant) -> Vec<Action> {
+        self.detect_pause(now);
+        let Some(state) = self.engines.get_mut(&grant.upstream) else {
             return Vec::new();
         };
-        if !seat.is_newer(from, grant.round) {
+        if !state.is_newer(from, grant.round) {
             return Vec::new();
         }
-        seat.cap = Some(Held {
+        state.cap = Some(Limit {
             credits: grant.credits,
             until: now + Duration::from_millis(grant.holds_ms.into()),
         });
-        self.settle(now)
+        self.cancel_excess(now)
     }
 
-    /// Lets credits run out. To be called every 100 ms.
+    /// Expires credits. Call it every 100 ms.
     pub fn tick(&mut self, now: Instant) -> Vec<Action> {
-        self.note_time(now);
-        self.settle(now)
+        self.detect_pause(now);
+        self.cancel_excess(now)
     }
 
-    /// Requests in an engine that have not been cancelled.
+    /// Returns the number of requests in an engine that have not been cancelled.
     pub fn running(&self, upstream: id::Upstream) -> usize {
-        let seat = self.engines.get(&upstream);
-        seat.map_or(0, Seat::running)
+        let state = self.engines.get(&upstream);
+        state.map_or(0, EngineState::running)
     }
 
-    /// Credits in force for an engine.
+    /// Returns the number of credits in force for an engine.
     pub fn allowed(&self, upstream: id::Upstream, now: Instant) -> usize {
-        let seat = self.engines.get(&upstream);
-        seat.map_or(0, |seat| seat.allowed(now))
+        let state = self.engines.get(&upstream);
+        state.map_or(0, |state| state.allowed(now))
     }
 
-    fn note_time(&mut self, now: Instant) {
-        if now.saturating_duration_since(self.heard) > PAUSED {
-            self.deaf_until = now + DRAIN;
-            for seat in self.engines.values_mut() {
-                seat.grant = None;
+    fn detect_pause(&mut self, now: Instant) {
+        if now.saturating_duration_since(self.last_active) > PAUSE_THRESHOLD {
+            self.drain_until = now + DRAIN_PERIOD;
+            for state in self.engines.values_mut() {
+                state.grant = None;
             }
         }
-        self.heard = now;
+        self.last_active = now;
     }
 
-    /// Cancels what is in engines beyond the credits: the newest first, for they have the least to lose.
-    fn settle(&mut self, now: Instant) -> Vec<Action> {
+    /// Cancels requests that exceed the credits, the newest first, as they lose the least work.
+    fn cancel_excess(&mut self, now: Instant) -> Vec<Action> {
         let mut actions = Vec::new();
-        for seat in self.engines.values_mut() {
-            let over = seat.running().saturating_sub(seat.allowed(now));
-            let running = seat.passes.iter_mut().rev();
+        for state in self.engines.values_mut() {
+            let over = state.running().saturating_sub(state.allowed(now));
+            let running = state.passes.iter_mut().rev();
             let newest = running.filter(|(_, cancelled)| !**cancelled).take(over);
-            for (number, cancelled) in newest {
+            for (pass, cancelled) in newest {
                 *cancelled = true;
-                actions.push(Action::Cancel(*number));
+                actions.push(Action::Cancel(*pass));
             }
         }
         actions
     }
 }
 
-impl Seat {
+impl EngineState {
     fn running(&self) -> usize {
         self.passes
             .values()
@@ -189,18 +188,18 @@
     }
 
     fn credits(&self, now: Instant) -> u16 {
-        let held = self.grant.filter(|held| held.until > now);
-        held.map_or(0, |held| held.credits)
+        let limit = self.grant.filter(|limit| limit.until > now);
+        limit.map_or(0, |limit| limit.credits)
     }
 
     fn allowed(&self, now: Instant) -> usize {
-        let cap = self.cap.filter(|held| held.until > now);
-        let cap = cap.map_or(u16::MAX, |held| held.credits);
+        let cap = self.cap.filter(|limit| limit.until > now);
+        let cap = cap.map_or(u16::MAX, |limit| limit.credits);
         self.credits(now).min(cap).into()
     }
 
     fn is_newer(&mut self, from: Writer, round: u64) -> bool {
-        let last = self.rounds.entry(from.process).or_default();
+        let last = self.last_rounds.entry(from.process).or_default();
         let newer = (from.incarnation, round) > *last;
         if newer {
             *last = (from.incarnation, round);
--- a/crates/tinbank-admission/src/lib.rs
+++ b/crates/tinbank-admission/src/lib.rs
@@ -1,7 +1,7 @@
 //! Grants batch credits on each engine so that online requests never wait behind batch work.
 //!
 //! [`controller::Controller`] and [`holder::Holder`] decide and do no I/O; [`Service`] drives both in a batch process,
-//! and [`LoadReporter`] tells controllers the load of an online process. See `docs/design/admission.md`.
+//! and [`LoadReporter`] reports the load of an online process to controllers. See `docs/design/admission.md`.
 
 mod burst;
 pub mod controller;
--- a/crates/tinbank-admission/src/load_reporter.rs
+++ b/crates/tinbank-admission/src/load_reporter.rs
@@ -1,4 +1,4 @@
-//! Admission control in an online process: tells controllers how many online requests are in each engine.
+//! Admission control in an online process: reports the number of its requests in each engine to the engine's controllers.
 
 use std::{
     collections::BTreeMap,
@@ -20,21 +20,21 @@
 
 use crate::rank;
 
-/// Falls are told together at this pace; a rise is told at once.
-const FLUSH: Duration = Duration::from_secs(1);
-/// A rise is told once more to the first controller after this time, in case the first frame was lost.
-const SECOND_WORD: Duration = Duration::from_millis(100);
-/// A load is told again after this time, well before the controller forgets it.
-const REPEAT: Duration = Duration::from_secs(8);
+/// Interval at which lower loads are reported. A higher load is reported at once.
+const FLUSH_INTERVAL: Duration = Duration::from_secs(1);
+/// Time after which a rise is reported again to the first controller, in case the frame was lost.
+const RISE_REPEAT_DELAY: Duration = Duration::from_millis(100);
+/// Time after which an unchanged load is reported again, well before it expires at the controller.
+const REPEAT_INTERVAL: Duration = Duration::from_secs(8);
 
-/// Tells loads from a task on the runtime that started it.
+/// Reports loads from a task on the runtime that started it.
 #[derive(Clone, Debug)]
 pub struct LoadReporter {
     loads: mpsc::UnboundedSender<Load>,
 }
 
 impl LoadReporter {
-    /// Starts to tell on the current runtime.
+    /// Starts the task on the current runtime.
     pub fn start(peers: Arc<dyn Peers>, directory: Arc<dyn Directory>) -> Self {
         let (loads, receiver) = mpsc::unbounded_channel();
         let task = Task {
@@ -47,29 +47,29 @@
         Self { loads }
     }
 
-    /// Says how many online requests this process has in an engine, whenever that changes. Never blocks.
+    /// Sets the number of online requests that this process has in an engine. Call it on each change; it never blocks.
     pub fn online(&self, upstream: id::Upstream, in_flight: u16) {
         let load = Load {
             upstream,
             online: in_flight,
         };
-        // The task ends only with the last teller.
+        // The task ends only after the last reporter is dropped.
         let _ = self.loads.send(load);
     }
 }
 
-/// What is in one engine, and who was told.
+/// Load of one engine, and what its controllers were sent.
 #[derive(Debug, Default)]
 struct Engine {
     online: u16,
-    first: Option<Told>,
-    second: Option<Told>,
-    /// When the last rise is told once more.
-    again: Option<Instant>,
+    first: Option<SentLoad>,
+    second: Option<SentLoad>,
+    /// When the last rise is reported again.
+    repeat_rise_at: Option<Instant>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Told {
+struct SentLoad {
     to: SocketAddr,
     online: u16,
     at: Instant,
@@ -84,47 +84,47 @@
 
 impl Task {
     async fn run(mut self, mut loads: mpsc::UnboundedReceiver<Load>) {
-        let mut flush = interval(FLUSH);
+        let mut flush = interval(FLUSH_INTERVAL);
         flush.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut second_words = interval(SECOND_WORD);
-        second_words.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut rise_repeats = interval(RISE_REPEAT_DELAY);
+        rise_repeats.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 load = loads.recv() => match load {
-                    Some(load) => self.load(load),
+                    Some(load) => self.on_load(load),
                     None => return,
                 },
                 _ = flush.tick() => self.flush(),
-                _ = second_words.tick() => self.say_again(),
+                _ = rise_repeats.tick() => self.repeat_rises(),
             }
         }
     }
 
-    fn load(&mut self, load: Load) {
+    fn on_load(&mut self, load: Load) {
         let engine = self.engines.entry(load.upstream).or_default();
         let rises = load.online > engine.online;
         engine.online = load.online;
         if rises {
             let now = Instant::now();
-            engine.again = Some(now + SECOND_WORD);
+            engine.repeat_rise_at = Some(now + RISE_REPEAT_DELAY);
             self.members = self.directory.members();
-            self.tell(load.upstream, now);
+            self.send(load.upstream, now);
         }
     }
 
-    fn say_again(&mut self) {
+    fn repeat_rises(&mut self) {
         let now = Instant::now();
         for (&upstream, engine) in &mut self.engines {
-            if engine.again.is_none_or(|at| at > now) {
+            if engine.repeat_rise_at.is_none_or(|at| at > now) {
                 continue;
             }
-            engine.again = None;
+            engine.repeat_rise_at = None;
             if let Some(first) = engine.first {
                 let load = Load {
                     upstream,
                     online: engine.online,
                 };
-                engine.first = Some(Told::new(first.to, load.online, now));
+                engine.first = Some(SentLoad::new(first.to, load.online, now));
                 self.peers
                     .send_credit(first.to, Message::Load(smallvec![load]));
             }
@@ -136,17 +136,17 @@
         self.members = self.directory.members();
         let upstreams: Vec<_> = self.engines.keys().copied().collect();
         for upstream in upstreams {
-            self.tell(upstream, now);
+            self.send(upstream, now);
         }
         self.engines.retain(|_, engine| {
-            let told = [engine.first, engine.second];
-            engine.online > 0 || told.iter().flatten().any(|told| told.online > 0)
+            let sent = [engine.first, engine.second];
+            engine.online > 0 || sent.iter().flatten().any(|sent| sent.online > 0)
         });
     }
 
-    /// Tells both controllers what they don't know yet. The second one hears of rises at once and of falls later: it
-    /// may only withdraw, so a number that is too large does no harm.
-    fn tell(&mut self, upstream: id::Upstream, now: Instant) {
+    /// Sends the load to both controllers as needed. Lower loads reach the second one only with repetitions: it may only
+    /// withdraw after rises, so a load that is too high does no harm.
+    fn send(&mut self, upstream: id::Upstream, now: Instant) {
         let Some(engine) = self.engines.get_mut(&upstream) else {
             return;
         };
@@ -158,38 +158,38 @@
         if let Some(first) = first
             && engine
                 .first
-                .is_none_or(|told| told.is_stale(first.peer, load.online, now))
+                .is_none_or(|sent| sent.needs_update(first.peer, load.online, now))
         {
-            engine.first = Some(Told::new(first.peer, load.online, now));
+            engine.first = Some(SentLoad::new(first.peer, load.online, now));
             self.peers
                 .send_credit(first.peer, Message::Load(smallvec![load]));
         }
         if let Some(second) = second
             && engine
                 .second
-                .is_none_or(|told| told.is_too_low(second.peer, load.online, now))
+                .is_none_or(|sent| sent.needs_raise(second.peer, load.online, now))
         {
-            engine.second = Some(Told::new(second.peer, load.online, now));
+            engine.second = Some(SentLoad::new(second.peer, load.online, now));
             self.peers
                 .send_credit(second.peer, Message::Load(smallvec![load]));
         }
     }
 }
 
-impl Told {
+impl SentLoad {
     fn new(to: SocketAddr, online: u16, at: Instant) -> Self {
         Self { to, online, at }
     }
 
-    fn is_old(&self, to: SocketAddr, now: Instant) -> bool {
-        self.to != to || now >= self.at + REPEAT
+    fn needs_repeat(&self, to: SocketAddr, now: Instant) -> bool {
+        self.to != to || now >= self.at + REPEAT_INTERVAL
     }
 
-    fn is_stale(&self, to: SocketAddr, online: u16, now: Instant) -> bool {
-        self.online != online || self.is_old(to, now)
+    fn needs_update(&self, to: SocketAddr, online: u16, now: Instant) -> bool {
+        self.online != online || self.needs_repeat(to, now)
     }
 
-    fn is_too_low(&self, to: SocketAddr, online: u16, now: Instant) -> bool {
-        self.online < online || self.is_old(to, now)
+    fn needs_raise(&self, to: SocketAddr, online: u16, now: Instant) -> bool {
+        self.online < online || self.needs_repeat(to, now)
     }
 }
--- a/crates/tinbank-admission/src/rank.rs
+++ b/crates/tinbank-admission/src/rank.rs
@@ -1,4 +1,4 @@
-//! Which batch processes control an engine.
+//! Selection of the batch processes that control an engine.
 
 use tinbank_base::{
     id,
@@ -6,7 +6,7 @@
 };
 use tinbank_membership::rendezvous::{self, Key};
 
-/// The first and the second in rank over the batch processes that serve.
+/// Returns the first and the second controller of an engine, by rendezvous hashing over the batch processes that are ready.
 pub(crate) fn controllers(members: &Members, upstream: id::Upstream) -> [Option<&Member>; 2] {
     let ready = members.ready(id::Role::Batch);
     let mut ranked = rendezvous::rank(ready, Key::Upstream(upstream)).into_iter();
--- a/crates/tinbank-admission/src/service.rs
+++ b/crates/tinbank-admission/src/service.rs
@@ -1,4 +1,4 @@
-//! Admission control in a batch process: frames, clock and members around the state machines.
+//! Admission control in a batch process: drives the state machines with messages, time and membership.
 
 use std::{
     collections::BTreeMap,
@@ -21,12 +21,12 @@
 use crate::{
     controller::{self, Controller, Engine, Rank, Settings},
     gate::{Gate, Pass},
-    holder::{self, Holder, Number},
+    holder::{self, Holder, PassId},
     rank,
     wishes::Wishes,
 };
 
-/// Time between ticks of both state machines.
+/// Interval between ticks of both state machines.
 const TICK: Duration = Duration::from_millis(100);
 
 /// Admission control in a batch process: controller of the engines it is first or second for, and holder of its own
@@ -39,24 +39,24 @@
 
 #[derive(Debug)]
 enum Event {
-    Told(Writer, Message),
+    Message(Writer, Message),
     Engines(Vec<Engine>),
     Shares(BTreeMap<id::Customer, u32>),
 }
 
-/// What traffic threads and the control task both touch, each for a moment.
+/// State shared by traffic threads and the control task.
 #[derive(Debug)]
 struct Shared {
     holder: Holder,
     wishes: Wishes,
-    withdrawals: BTreeMap<Number, watch::Sender<bool>>,
+    withdrawals: BTreeMap<PassId, watch::Sender<bool>>,
 }
 
 impl Shared {
     fn perform(&self, actions: Vec<holder::Action>) {
-        for holder::Action::Cancel(number) in actions {
+        for holder::Action::Cancel(pass) in actions {
             metrics::counter!("tinbank_admission_cancelled_total").increment(1);
-            if let Some(withdrawal) = self.withdrawals.get(&number) {
+            if let Some(withdrawal) = self.withdrawals.get(&pass) {
                 withdrawal.send_replace(true);
             }
         }
@@ -64,7 +64,7 @@
 }
 
 impl Service {
-    /// Starts admission control on the current runtime; it ends with the last clone.
+    /// Starts admission control on the current runtime. It stops when the last clone is dropped.
     pub fn start(
         settings: Settings,
         own: Writer,
@@ -92,23 +92,23 @@
         Self { events, shared }
     }
 
-    /// Takes in a datagram; call it from [`tinbank_base::peer::Answer::on_credit`].
+    /// Passes on a message from a peer. Call it from [`tinbank_base::peer::Answer::on_credit`].
     pub fn on_message(&self, from: Writer, message: Message) {
-        self.event(Event::Told(from, message));
+        self.send_event(Event::Message(from, message));
     }
 
-    /// Says which engines there are; those left out get no batch.
+    /// Sets the engines that batch may use.
     pub fn set_engines(&self, engines: Vec<Engine>) {
-        self.event(Event::Engines(engines));
+        self.send_event(Event::Engines(engines));
     }
 
-    /// Says the customers' weights in the sharing of batch capacity; a customer left out has weight 1.
+    /// Sets the customers' weights in the sharing of batch capacity. The default is 1.
     pub fn set_shares(&self, shares: BTreeMap<id::Customer, u32>) {
-        self.event(Event::Shares(shares));
+        self.send_event(Event::Shares(shares));
     }
 
-    fn event(&self, event: Event) {
-        // The control task ends only with the last clone.
+    fn send_event(&self, event: Event) {
+        // The control task ends only after the last clone is dropped.
         let _ = self.events.send(event);
     }
 }
@@ -116,14 +116,14 @@
 impl Gate for Service {
     fn enter(&self, upstream: id::Upstream, customer: &str, now: Instant) -> Option<Pass> {
         let mut shared = lock(&self.shared);
-        let number = shared.holder.enter(upstream, now)?;
-        shared.wishes.entered(upstream, customer, now);
+        let pass = shared.holder.enter(upstream, now)?;
+        shared.wishes.on_enter(upstream, customer, now);
         let (withdrawal, withdrawn) = watch::channel(false);
-        shared.withdrawals.insert(number, withdrawal);
+        shared.withdrawals.insert(pass, withdrawal);
         let guard = Guard {
             upstream,
             customer: customer.to_owned(),
-            number,
+            pass,
             shared: self.shared.clone(),
         };
         Some(Pass {
@@ -142,28 +142,28 @@
         now: Instant,
     ) {
         let mut shared = lock(&self.shared);
-        shared.wishes.wish(upstream, customer, wanted, due, now);
+        shared.wishes.set_wanted(upstream, customer, wanted, due, now);
     }
 }
 
-/// Gives a pass back.
+/// Releases a pass when dropped.
 struct Guard {
     upstream: id::Upstream,
     customer: id::Customer,
-    number: Number,
+    pass: PassId,
     shared: Arc<Mutex<Shared>>,
 }
 
 impl Drop for Guard {
     fn drop(&mut self) {
         let mut shared = lock(&self.shared);
-        shared.holder.leave(self.upstream, self.number);
-        shared.wishes.left(self.upstream, &self.customer);
-        shared.withdrawals.remove(&self.number);
+        shared.holder.leave(self.upstream, self.pass);
+        shared.wishes.on_leave(self.upstream, &self.customer);
+        shared.withdrawals.remove(&self.pass);
     }
 }
 
-/// Who controls an engine.
+/// Controllers of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Controllers {
     first: Option<(id::Process, SocketAddr)>,
@@ -189,7 +189,7 @@
         loop {
             tokio::select! {
                 event = events.recv() => match event {
-                    Some(event) => self.take(event),
+                    Some(event) => self.on_event(event),
                     None => return,
                 },
                 _ = ticks.tick() => self.tick(),
@@ -197,58 +197,58 @@
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn on_event(&mut self, event: Event) {
         let now = Instant::now();
         match event {
-            Event::Told(from, message) => self.told(from, message, now),
+            Event::Message(from, message) => self.on_message(from, message, now),
             Event::Engines(engines) => self.set_engines(engines, now),
-            Event::Shares(shares) => self.control(controller::Event::Shares(shares), now),
+            Event::Shares(shares) => self.control_engines(controller::Event::Shares(shares), now),
         }
     }
 
-    fn told(&mut self, from: Writer, message: Message, now: Instant) {
+    fn on_message(&mut self, from: Writer, message: Message, now: Instant) {
         match message {
             Message::Load(loads) => {
                 for load in loads {
                     let from = from.process;
-                    self.control(controller::Event::Load { from, load }, now);
+                    self.control_engines(controller::Event::Load { from, load }, now);
                 }
             }
             Message::Wish(wishes) => {
                 for wish in wishes {
                     let from = from.process;
-                    self.control(controller::Event::Wish { from, wish }, now);
+                    self.control_engines(controller::Event::Wish { from, wish }, now);
                 }
             }
             Message::Grant(grants) => {
                 for grant in grants {
-                    self.granted(from, grant, now);
+                    self.on_grant(from, grant, now);
                 }
             }
             Message::Withdraw(grants) => {
                 for grant in grants {
-                    self.withdrawn(from, grant, now);
+                    self.on_withdrawal(from, grant, now);
                 }
             }
         }
     }
 
-    fn granted(&self, from: Writer, grant: Grant, now: Instant) {
+    fn on_grant(&self, from: Writer, grant: Grant, now: Instant) {
         let mut shared = lock(&self.shared);
-        let actions = shared.holder.granted(from, grant, now);
+        let actions = shared.holder.on_grant(from, grant, now);
         shared.perform(actions);
     }
 
-    fn withdrawn(&self, from: Writer, grant: Grant, now: Instant) {
+    fn on_withdrawal(&self, from: Writer, grant: Grant, now: Instant) {
         let mut shared = lock(&self.shared);
-        let actions = shared.holder.withdrawn(from, grant, now);
+        let actions = shared.holder.on_withdrawal(from, grant, now);
         shared.perform(actions);
     }
 
     fn set_engines(&mut self, engines: Vec<Engine>, now: Instant) {
         let event = controller::Event::Engines(engines.clone());
         self.engines = engines;
-        self.control(event, now);
+        self.control_engines(event, now);
         self.controllers.clear();
         self.update_ranks(now);
         let known = |upstream| {
@@ -264,12 +264,12 @@
     fn tick(&mut self) {
         let now = Instant::now();
         self.update_members(now);
-        self.control(controller::Event::Tick, now);
+        self.control_engines(controller::Event::Tick, now);
         let wishes = {
             let mut shared = lock(&self.shared);
             let actions = shared.holder.tick(now);
             shared.perform(actions);
-            shared.wishes.due(self.engines.len(), self.ready.len(), now)
+            shared.wishes.take_due(self.engines.len(), self.ready.len(), now)
         };
         self.send_wishes(wishes, now);
     }
@@ -309,24 +309,24 @@
                 (_, Some((process, _))) if process == own => Rank::Second,
                 _ => Rank::Other,
             };
-            self.control(controller::Event::Rank { upstream, rank }, now);
+            self.control_engines(controller::Event::Rank { upstream, rank }, now);
             let mut shared = lock(&self.shared);
             let first = first.map(|(process, _)| process);
             shared.holder.set_controller(upstream, first);
         }
         if moved {
-            lock(&self.shared).wishes.repeat();
+            lock(&self.shared).wishes.resend_all();
         }
     }
 
-    fn control(&mut self, event: controller::Event, now: Instant) {
+    fn control_engines(&mut self, event: controller::Event, now: Instant) {
         for action in self.controller.handle(event, now) {
             match action {
                 controller::Action::Grant { to, grant } if to == self.own.process => {
-                    self.granted(self.own, grant, now);
+                    self.on_grant(self.own, grant, now);
                 }
                 controller::Action::Withdraw { to, grant } if to == self.own.process => {
-                    self.withdrawn(self.own, grant, now);
+                    self.on_withdrawal(self.own, grant, now);
                 }
                 controller::Action::Grant { to, grant } => {
                     self.send(to, Message::Grant([grant].into_iter().collect()));
@@ -356,7 +356,7 @@
                 let wish = wish.clone();
                 if process == self.own.process {
                     let from = process;
-                    self.control(controller::Event::Wish { from, wish }, now);
+                    self.control_engines(controller::Event::Wish { from, wish }, now);
                 } else {
                     self.peers
                         .send_credit(address, Message::Wish([wish].into_iter().collect()));
--- a/crates/tinbank-admission/src/wishes.rs
+++ b/crates/tinbank-admission/src/wishes.rs
@@ -1,4 +1,4 @@
-//! Wishes of this process: what its batch requests could use, told to controllers at a bounded pace.
+//! Wishes of this process: the credits that its batch requests could use, sent to controllers at a bounded rate.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -7,17 +7,17 @@
 
 use tinbank_base::{frame::credit::Wish, id};
 
-/// A wish that nobody repeats is cut down to what runs.
-const FADES: Duration = Duration::from_secs(3);
-/// A change is told at most this often.
-const PACE: Duration = Duration::from_millis(500);
-/// A wish is told again after this time, so that one lost frame does not end it.
-const REPEAT: Duration = Duration::from_secs(5);
-/// Engines that any process may wish for, however many processes there are.
-const FEW_ENGINES: usize = 32;
-/// Wishes that each engine should get, with a reserve; more would only cost frames.
+/// Time after which a wish that is not requested again is reduced to the running requests.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Shortest time between two updates of a wish.
+const MIN_UPDATE_INTERVAL: Duration = Duration::from_millis(500);
+/// Time after which an unchanged wish is sent again, so that it survives a lost frame.
+const REPEAT_INTERVAL: Duration = Duration::from_secs(5);
+/// Up to this number of engines, each process may send wishes to all of them.
+const UNLIMITED_ENGINES: usize = 32;
+/// Mean number of processes that send wishes for one engine, in fleets with more engines.
 const WISHES_PER_ENGINE: usize = 8;
-/// Engines that a process may wish for at least.
+/// Minimum number of engines that a process may send wishes for.
 const MIN_ENGINES: usize = 8;
 
 #[derive(Clone, Debug)]
@@ -25,8 +25,8 @@
     wanted: u16,
     running: u16,
     due: Instant,
-    asked: Instant,
-    told: Option<(u16, Instant)>,
+    last_requested: Instant,
+    sent: Option<(u16, Instant)>,
 }
 
 /// Wishes by engine and customer.
@@ -36,7 +36,7 @@
 }
 
 impl Wishes {
-    pub(crate) fn wish(
+    pub(crate) fn set_wanted(
         &mut self,
         upstream: id::Upstream,
         customer: &str,
@@ -47,40 +47,40 @@
         let entry = self.entry(upstream, customer, due, now);
         entry.wanted = wanted.max(entry.running);
         entry.due = due;
-        entry.asked = now;
+        entry.last_requested = now;
     }
 
-    pub(crate) fn entered(&mut self, upstream: id::Upstream, customer: &str, now: Instant) {
+    pub(crate) fn on_enter(&mut self, upstream: id::Upstream, customer: &str, now: Instant) {
         let entry = self.entry(upstream, customer, now, now);
         entry.running += 1;
         entry.wanted = entry.wanted.max(entry.running);
-        entry.asked = now;
+        entry.last_requested = now;
     }
 
-    pub(crate) fn left(&mut self, upstream: id::Upstream, customer: &str) {
+    pub(crate) fn on_leave(&mut self, upstream: id::Upstream, customer: &str) {
         let key = (upstream, customer.to_owned());
         if let Some(entry) = self.entries.get_mut(&key) {
             entry.running = entry.running.saturating_sub(1);
         }
     }
 
-    /// What is to be told now. `engines` and `processes` tell how many of each there are.
-    pub(crate) fn due(&mut self, engines: usize, processes: usize, now: Instant) -> Vec<Wish> {
+    /// Returns the wishes to send now. `engines` and `processes` are the numbers of each in the fleet.
+    pub(crate) fn take_due(&mut self, engines: usize, processes: usize, now: Instant) -> Vec<Wish> {
         for entry in self.entries.values_mut() {
-            if now >= entry.asked + FADES {
+            if now >= entry.last_requested + IDLE_TIMEOUT {
                 entry.wanted = entry.running;
             }
         }
-        let allowed = self.allowed(limit(engines, processes));
+        let selected = self.select_engines(engine_limit(engines, processes));
         let mut wishes = Vec::new();
         self.entries.retain(|(upstream, customer), entry| {
-            let wanted = if allowed.contains(upstream) {
+            let wanted = if selected.contains(upstream) {
                 entry.wanted
             } else {
                 entry.running
             };
             if entry.is_due(wanted, now) {
-                entry.told = Some((wanted, now));
+                entry.sent = Some((wanted, now));
                 wishes.push(Wish {
                     upstream: *upstream,
                     customer: customer.clone(),
@@ -88,35 +88,35 @@
                     due_in_ms: millis(entry.due.saturating_duration_since(now)),
                 });
             }
-            let told = entry.told.map_or(0, |(told, _)| told);
-            entry.wanted > 0 || told > 0
+            let sent = entry.sent.map_or(0, |(sent, _)| sent);
+            entry.wanted > 0 || sent > 0
         });
         wishes
     }
 
-    /// All wishes are told again, for another process may hear them now.
-    pub(crate) fn repeat(&mut self) {
+    /// Marks all wishes to be sent again, since a controller may have changed.
+    pub(crate) fn resend_all(&mut self) {
         for entry in self.entries.values_mut() {
-            entry.told = entry.told.filter(|(wanted, _)| *wanted == 0);
+            entry.sent = entry.sent.filter(|(wanted, _)| *wanted == 0);
         }
     }
 
-    /// The engines that we may wish for: those that we are in, then those asked for last.
-    fn allowed(&self, limit: usize) -> BTreeSet<id::Upstream> {
+    /// Selects the engines to send wishes for: those with running requests, then the most recently requested.
+    fn select_engines(&self, limit: usize) -> BTreeSet<id::Upstream> {
         let mut ranked: Vec<_> = self
             .entries
             .iter()
-            .map(|((upstream, _), entry)| (entry.running > 0, entry.asked, *upstream))
+            .map(|((upstream, _), entry)| (entry.running > 0, entry.last_requested, *upstream))
             .collect();
         ranked.sort_unstable_by(|a, b| b.cmp(a));
-        let mut allowed = BTreeSet::new();
+        let mut selected = BTreeSet::new();
         for (_, _, upstream) in ranked {
-            if allowed.len() == limit {
+            if selected.len() == limit {
                 break;
             }
-            allowed.insert(upstream);
+            selected.insert(upstream);
         }
-        allowed
+        selected
     }
 
     fn entry(
@@ -132,25 +132,25 @@
                 wanted: 0,
                 running: 0,
                 due,
-                asked: now,
-                told: None,
+                last_requested: now,
+                sent: None,
             })
     }
 }
 
 impl Entry {
     fn is_due(&self, wanted: u16, now: Instant) -> bool {
-        match self.told {
+        match self.sent {
             None => wanted > 0,
-            Some((told, at)) if told != wanted => now >= at + PACE,
+            Some((sent, at)) if sent != wanted => now >= at + MIN_UPDATE_INTERVAL,
             Some((0, _)) => false,
-            Some((_, at)) => now >= at + REPEAT,
+            Some((_, at)) => now >= at + REPEAT_INTERVAL,
         }
     }
 }
 
-fn limit(engines: usize, processes: usize) -> usize {
-    if engines <= FEW_ENGINES {
+fn engine_limit(engines: usize, processes: usize) -> usize {
+    if engines <= UNLIMITED_ENGINES {
         return engines;
     }
     let fair = engines * WISHES_PER_ENGINE / processes.max(1);
--- a/crates/tinbank-admission/tests/curve.rs
+++ b/crates/tinbank-admission/tests/curve.rs
@@ -1,5 +1,5 @@
-//! The curve of the parameter between throughput and tail: the table of `docs/design/admission.md`. Run with
-//! `--nocapture` to see it.
+//! Trade-off between batch throughput and online latency by `lean_percent`: the table of `docs/design/admission.md`. Run with
+//! `--nocapture` to print it.
 
 mod world;
 
@@ -12,15 +12,14 @@
 const SECONDS: u64 = 80;
 
 struct Point {
-    /// Mean of the slots that batch had, per cent of those that online left idle.
-    used: f64,
-    /// Time in which an online request waited behind batch, in milliseconds a minute.
-    harm: f64,
-    /// Items cancelled a minute.
-    cancelled: f64,
+    /// Share of the slots idle of online requests that batch used, in per cent.
+    idle_used_percent: f64,
+    /// Time in which online requests waited behind batch, in milliseconds per minute.
+    online_wait_ms: f64,
+    cancelled_per_minute: f64,
 }
 
-/// One request a second for three seconds each, and a burst of six within 300 ms each 40 s.
+/// Simulates one online request per second of three seconds each, with a burst of six within 300 ms every 40 s.
 fn measure(lean: u16, seed: u64) -> Point {
     let mut world = World::filled(SLOTS, lean, &[(3, "north", 99), (4, "south", 99)], seed);
     let mut random = SmallRng::seed_from_u64(seed);
@@ -46,14 +45,14 @@
     }
     let minutes = SECONDS as f64 / 60.0;
     Point {
-        used: 100.0 * batch as f64 / idle as f64,
-        harm: world.excess_time.as_millis() as f64 / minutes,
-        cancelled: f64::from(world.cancelled) / minutes,
+        idle_used_percent: 100.0 * batch as f64 / idle as f64,
+        online_wait_ms: world.excess_time.as_millis() as f64 / minutes,
+        cancelled_per_minute: f64::from(world.cancelled) / minutes,
     }
 }
 
 #[test]
-fn more_lean_gives_less_harm_for_less_batch() {
+fn more_headroom_trades_batch_throughput_for_online_latency() {
     let leans = [0, 50, 100, 150, 200];
 
     let points = leans.map(|lean| measure(lean, 5));
@@ -61,12 +60,12 @@
     for (lean, point) in leans.iter().zip(&points) {
         println!(
             "lean={lean} idle_used_percent={:.1} late_ms_per_minute={:.0} cancelled_per_minute={:.1}",
-            point.used, point.harm, point.cancelled
+            point.idle_used_percent, point.online_wait_ms, point.cancelled_per_minute
         );
     }
     for pair in points.windows(2) {
-        assert!(pair[0].used > pair[1].used);
-        assert!(pair[0].harm >= pair[1].harm);
-        assert!(pair[0].cancelled > pair[1].cancelled);
+        assert!(pair[0].idle_used_percent > pair[1].idle_used_percent);
+        assert!(pair[0].online_wait_ms >= pair[1].online_wait_ms);
+        assert!(pair[0].cancelled_per_minute > pair[1].cancelled_per_minute);
     }
 }
--- a/crates/tinbank-admission/tests/service.rs
+++ b/crates/tinbank-admission/tests/service.rs
@@ -1,4 +1,4 @@
-//! The edges of admission control: from the load that an online process tells to the request that is cancelled.
+//! Admission control end to end: from the reported load of an online process to the withdrawn pass.
 
 use std::{
     net::SocketAddr,
@@ -31,16 +31,16 @@
 }
 
 #[derive(Debug)]
-struct Fixed(Arc<Members>);
+struct FixedDirectory(Arc<Members>);
 
-impl Directory for Fixed {
+impl Directory for FixedDirectory {
     fn members(&self) -> Arc<Members> {
         self.0.clone()
     }
 }
 
-/// One batch process that serves.
-fn directory() -> Arc<Fixed> {
+/// Returns a directory of one batch process that is ready.
+fn directory() -> Arc<FixedDirectory> {
     let address = "127.0.0.1:1".parse().unwrap();
     let member = Member {
         writer: writer(1, Role::Batch),
@@ -52,17 +52,17 @@
         config: 0,
     };
     let members = vec![member];
-    Arc::new(Fixed(Arc::new(Members { members })))
+    Arc::new(FixedDirectory(Arc::new(Members { members })))
 }
 
-/// Gives what is told to the service, as the network would.
+/// Delivers credit messages directly to the service.
 #[derive(Debug, Default)]
-struct Wire {
+struct Loopback {
     service: Mutex<Option<Service>>,
 }
 
 #[async_trait]
-impl Peers for Wire {
+impl Peers for Loopback {
     async fn ask(&self, to: SocketAddr, _: Request, _: Instant) -> Result<Vec<Response>, Error> {
         Err(Error::Connect(to))
     }
@@ -77,19 +77,19 @@
 }
 
 fn start(lean_percent: u16) -> (Service, LoadReporter) {
-    let wire = Arc::new(Wire::default());
+    let loopback = Arc::new(Loopback::default());
     let own = writer(1, Role::Batch);
-    let service = Service::start(Settings { lean_percent }, own, wire.clone(), directory());
-    *wire.service.lock().unwrap() = Some(service.clone());
+    let service = Service::start(Settings { lean_percent }, own, loopback.clone(), directory());
+    *loopback.service.lock().unwrap() = Some(service.clone());
     let engine = Engine {
         upstream: ENGINE,
         slots: SLOTS,
     };
     service.set_engines(vec![engine]);
-    (service, LoadReporter::start(wire, directory()))
+    (service, LoadReporter::start(loopback, directory()))
 }
 
-/// Wishes and enters until `count` requests are in, as the runner of items does.
+/// Requests credits and enters until `count` passes are held, as the batch runner does.
 async fn fill(service: &Service, count: usize) -> Vec<Pass> {
     let mut passes = Vec::new();
     while passes.len() < count {
@@ -105,8 +105,8 @@
 }
 
 #[tokio::test]
-async fn online_load_takes_batch_requests_out_of_an_engine() {
-    let (service, teller) = start(0);
+async fn online_load_withdraws_a_batch_request() {
+    let (service, reporter) = start(0);
     let now = Instant::now();
     assert!(
         service.enter(ENGINE, "north", now).is_none(),
@@ -114,9 +114,9 @@
     );
     let mut passes = fill(&service, SLOTS.into()).await;
     let now = Instant::now();
-    assert!(service.enter(ENGINE, "north", now).is_none(), "all are out");
+    assert!(service.enter(ENGINE, "north", now).is_none(), "all credits are in use");
 
-    teller.online(ENGINE, 1);
+    reporter.online(ENGINE, 1);
     let newest = passes.last_mut().unwrap();
     newest.withdrawn.changed().await.unwrap();
 
@@ -125,8 +125,8 @@
 }
 
 #[tokio::test]
-async fn an_engine_that_is_gone_from_the_list_gets_no_batch() {
-    let (service, _teller) = start(0);
+async fn removed_engine_gets_no_batch() {
+    let (service, _reporter) = start(0);
     let mut passes = fill(&service, 1).await;
 
     service.set_engines(Vec::new());
--- a/crates/tinbank-admission/tests/world/mod.rs
+++ b/crates/tinbank-admission/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! One engine, two controllers and some holders under virtual time, with frames that take time and get lost.
+//! Simulation of one engine, two controllers and several holders in virtual time, with latency and loss of frames.
 
 #![allow(dead_code, reason = "not every test file uses all of it")]
 
@@ -11,7 +11,7 @@
 use tinbank_admission::{
     Engine, Settings,
     controller::{Action, Controller, Event, Rank},
-    holder::{self, Holder, Number},
+    holder::{self, Holder, PassId},
 };
 use tinbank_base::{
     clock::Stamp,
@@ -26,12 +26,12 @@
 
 pub const ENGINE: u32 = 1;
 pub const LATENCY: Duration = Duration::from_millis(1);
-/// Time that the engine takes to free the slot of a cancelled request.
-pub const CANCEL: Duration = Duration::from_millis(20);
-const SECOND_WORD: Duration = Duration::from_millis(100);
+/// Time in which the engine frees the slot of a cancelled request.
+pub const CANCEL_TIME: Duration = Duration::from_millis(20);
+const RISE_REPEAT_DELAY: Duration = Duration::from_millis(100);
 const TICK: Duration = Duration::from_millis(100);
 const STEP: Duration = Duration::from_millis(1);
-const WISH_EVERY: Duration = Duration::from_secs(5);
+const WISH_INTERVAL: Duration = Duration::from_secs(5);
 
 pub fn batch(host: u32) -> Process {
     Process {
@@ -62,7 +62,7 @@
 }
 
 impl Frame {
-    /// Size of the real frame, with a start number, a sequence and a stamp of real size.
+    /// Returns the encoded size of the frame, with an incarnation, a sequence and a stamp of realistic size.
     fn bytes(&self) -> u64 {
         const MICROS: u64 = 1_790_000_000_000_000;
         let (from, message) = match self {
@@ -98,36 +98,36 @@
     pub customer: String,
     pub wanted: u16,
     pub paused: bool,
-    /// Frames that wait in the socket of a paused process.
+    /// Frames in the socket buffer of a paused process.
     waiting: Vec<Frame>,
-    passes: Vec<Number>,
-    leaving: Vec<(Number, Instant)>,
+    passes: Vec<PassId>,
+    cancelling: Vec<(PassId, Instant)>,
     next_wish: Instant,
 }
 
 impl Batch {
-    /// Requests of this process in the engine, those being cancelled included.
+    /// Returns the number of requests of this process in the engine, including those being cancelled.
     pub fn in_engine(&self) -> u16 {
-        (self.passes.len() + self.leaving.len()) as u16
+        (self.passes.len() + self.cancelling.len()) as u16
     }
 }
 
 pub struct World {
     pub now: Instant,
     pub slots: u16,
-    pub loss: u32,
+    pub loss_percent: u32,
     pub controllers: BTreeMap<Process, Controller>,
     pub holders: BTreeMap<Process, Batch>,
     pub online: BTreeMap<Process, u16>,
-    /// When `(slots − online)` took which value, for the version with global knowledge.
+    /// Each change of `slots - online`, for comparison with an allocator of global knowledge.
     pub history: Vec<(Instant, u16)>,
-    /// Most requests over the slots at any time so far.
-    pub worst_excess: u16,
+    /// Largest number of requests beyond the slots so far.
+    pub max_excess: u16,
     pub excess_time: Duration,
     pub cancelled: u32,
     /// Bytes of all frames sent.
     pub bytes: u64,
-    flights: Vec<(Instant, Process, Frame)>,
+    in_flight: Vec<(Instant, Process, Frame)>,
     next_tick: Instant,
     random: SmallRng,
 }
@@ -138,16 +138,16 @@
         let mut world = Self {
             now,
             slots,
-            loss: 0,
+            loss_percent: 0,
             controllers: BTreeMap::new(),
             holders: BTreeMap::new(),
             online: BTreeMap::new(),
             history: vec![(now, slots)],
-            worst_excess: 0,
+            max_excess: 0,
             excess_time: Duration::ZERO,
             cancelled: 0,
             bytes: 0,
-            flights: Vec::new(),
+            in_flight: Vec::new(),
             next_tick: now,
             random: SmallRng::seed_from_u64(seed),
         };
@@ -172,7 +172,7 @@
                 paused: false,
                 waiting: Vec::new(),
                 passes: Vec::new(),
-                leaving: Vec::new(),
+                cancelling: Vec::new(),
                 next_wish: now,
             };
             world.holders.insert(batch(host), batch_process);
@@ -180,11 +180,11 @@
         world
     }
 
-    /// A world in which batch has what it can have.
+    /// Returns a simulation in which batch holds all the credits that it can get.
     pub fn filled(slots: u16, lean_percent: u16, holders: &[(u32, &str, u16)], seed: u64) -> Self {
         let mut world = Self::new(slots, lean_percent, holders, seed);
         world.run(Duration::from_secs(8));
-        world.worst_excess = 0;
+        world.max_excess = 0;
         world.excess_time = Duration::ZERO;
         world.cancelled = 0;
         world
@@ -198,7 +198,7 @@
         self.holders.values().map(Batch::in_engine).sum()
     }
 
-    /// Credits in force at all holders.
+    /// Returns the number of credits in force at all holders.
     pub fn in_force(&self) -> u16 {
         self.holders
             .values()
@@ -215,15 +215,15 @@
             upstream: ENGINE,
             online: count,
         };
-        // As the teller does: a rise to both and once more to the first, a fall to the first.
+        // As `LoadReporter`: a rise to both and again to the first, a fall to the first.
         self.send(batch(1), Frame::Load(from, load));
         if count > before {
             self.send(batch(2), Frame::Load(from, load));
-            self.send_in(SECOND_WORD, batch(1), Frame::Load(from, load));
+            self.send_in(RISE_REPEAT_DELAY, batch(1), Frame::Load(from, load));
         }
     }
 
-    pub fn lose_controller(&mut self, host: u32) {
+    pub fn remove_controller(&mut self, host: u32) {
         self.controllers.remove(&batch(host));
     }
 
@@ -236,33 +236,33 @@
     }
 
     fn step(&mut self) {
-        self.land();
+        self.deliver_due();
         if self.now >= self.next_tick {
             self.next_tick = self.now + TICK;
             self.tick();
         }
-        self.work();
+        self.use_credits();
         let used = self.online_total() + self.batch_total();
-        // Online requests beyond the slots would wait without batch too.
+        // Online requests beyond the slots would wait without batch as well.
         let excess = used.saturating_sub(self.slots.max(self.online_total()));
-        self.worst_excess = self.worst_excess.max(excess);
+        self.max_excess = self.max_excess.max(excess);
         if excess > 0 {
             self.excess_time += STEP;
         }
     }
 
-    fn land(&mut self) {
+    fn deliver_due(&mut self) {
         let now = self.now;
-        let (due, rest) = std::mem::take(&mut self.flights)
+        let (due, rest) = std::mem::take(&mut self.in_flight)
             .into_iter()
             .partition(|(at, ..)| *at <= now);
-        self.flights = rest;
+        self.in_flight = rest;
         for (_, to, frame) in due {
-            self.take(to, frame);
+            self.deliver(to, frame);
         }
     }
 
-    fn take(&mut self, to: Process, frame: Frame) {
+    fn deliver(&mut self, to: Process, frame: Frame) {
         let now = self.now;
         match frame {
             Frame::Load(from, load) => self.control(to, Event::Load { from, load }),
@@ -276,9 +276,9 @@
                     return;
                 }
                 let actions = match frame {
-                    Frame::Grant(from, grant) => process.holder.granted(writer(from), grant, now),
+                    Frame::Grant(from, grant) => process.holder.on_grant(writer(from), grant, now),
                     Frame::Withdraw(from, grant) => {
-                        process.holder.withdrawn(writer(from), grant, now)
+                        process.holder.on_withdrawal(writer(from), grant, now)
                     }
                     Frame::Load(..) | Frame::Wish(..) => Vec::new(),
                 };
@@ -291,7 +291,7 @@
         let process = self.holders.get_mut(&of).unwrap();
         for holder::Action::Cancel(number) in actions {
             process.passes.retain(|pass| *pass != number);
-            process.leaving.push((number, self.now + CANCEL));
+            process.cancelling.push((number, self.now + CANCEL_TIME));
             self.cancelled += 1;
         }
     }
@@ -311,15 +311,15 @@
         }
     }
 
-    /// Batch processes send whatever they may, and wish for the rest.
-    fn work(&mut self) {
+    /// Batch processes use all their credits, and send wishes.
+    fn use_credits(&mut self) {
         let now = self.now;
         let mut wishes = Vec::new();
         for (&process, state) in &mut self.holders {
             let Batch {
-                holder, leaving, ..
+                holder, cancelling, ..
             } = state;
-            leaving.retain(|(number, at)| {
+            cancelling.retain(|(number, at)| {
                 if *at <= now {
                     holder.leave(ENGINE, *number);
                 }
@@ -334,7 +334,7 @@
                 state.passes.push(number);
             }
             if now >= state.next_wish {
-                state.next_wish = now + WISH_EVERY;
+                state.next_wish = now + WISH_INTERVAL;
                 let wish = Wish {
                     upstream: ENGINE,
                     customer: state.customer.clone(),
@@ -351,13 +351,13 @@
         }
     }
 
-    /// Wakes a paused process: what waited in its socket comes first.
-    pub fn wake(&mut self, host: u32) {
+    /// Resumes a paused process, which first receives the frames in its socket buffer.
+    pub fn resume(&mut self, host: u32) {
         let process = batch(host);
         let state = self.holders.get_mut(&process).unwrap();
         state.paused = false;
         for frame in std::mem::take(&mut state.waiting) {
-            self.take(process, frame);
+            self.deliver(process, frame);
         }
     }
 
@@ -380,13 +380,14 @@
 
     fn send_in(&mut self, delay: Duration, to: Process, frame: Frame) {
         self.bytes += frame.bytes();
-        if self.random.random_range(0..100) >= self.loss {
-            self.flights.push((self.now + delay, to, frame));
+        if self.random.random_range(0..100) >= self.loss_percent {
+            self.in_flight.push((self.now + delay, to, frame));
         }
     }
 
-    /// The most that a version with global knowledge and no lag would have let in at any time within `lag`.
-    pub fn free_within(&self, lag: Duration) -> u16 {
+    /// Returns the largest number of requests that an allocator with global knowledge and no lag would have admitted at any
+    /// time within `lag`.
+    pub fn max_free_within(&self, lag: Duration) -> u16 {
         let from = self.now.checked_sub(lag).unwrap_or(self.now);
         let before = self.history.iter().rev().find(|(at, _)| *at <= from);
         let within = self.history.iter().filter(|(at, _)| *at >= from);
