--- a/crates/tinbank-batch/src/control/mod.rs
+++ b/crates/tinbank-batch/src/control/mod.rs
@@ -48,7 +48,7 @@
     loop {
         let list = lists.borrow_and_update().clone();
         if let Some(list) = list {
-            table.list(&list, Instant::now());
+            table.apply_list(&list, Instant::now());
             admission.set_engines(engines(&list));
         }
         if lists.changed().await.is_err() {
--- a/crates/tinbank-batch/src/runner/attempt.rs
+++ b/crates/tinbank-batch/src/runner/attempt.rs
@@ -106,8 +106,8 @@
     }
     let now = Instant::now();
     match &end {
-        End::Answer(_) => choice.ticket.note(Ok(()), now),
-        End::Failed(error) => choice.ticket.note(Err(error), now),
+        End::Answer(_) => choice.ticket.record_result(Ok(()), now),
+        End::Failed(error) => choice.ticket.record_result(Err(error), now),
         _ => {}
     }
     end
--- a/crates/tinbank-batch/src/runner/pool/place.rs
+++ b/crates/tinbank-batch/src/runner/pool/place.rs
@@ -6,7 +6,7 @@
 use tinbank_admission::Gate;
 use tinbank_base::{id, platform::hosts};
 use tinbank_configuration::template::Traffic;
-use tinbank_routing::choice::{Ask, Choice};
+use tinbank_routing::choice::{RouteRequest, Choice};
 
 use super::Pool;
 use crate::runner::{attempt::Spot, task::Task};
@@ -16,7 +16,7 @@
 
 impl Pool {
     pub(super) fn place(&mut self, task: &Task, now: Instant) -> Option<Spot> {
-        let mut ask = Ask {
+        let mut ask = RouteRequest {
             service: &task.service,
             traffic: Traffic::Batch,
             prefix: task.prefix,
--- a/crates/tinbank-batch/tests/attempt.rs
+++ b/crates/tinbank-batch/tests/attempt.rs
@@ -18,7 +18,7 @@
     task::{Flow, Kept, Key, Stop, Task},
 };
 use tinbank_configuration::{service::Service, template::Traffic};
-use tinbank_routing::choice::{Ask, Router};
+use tinbank_routing::choice::{RouteRequest, Router};
 use tinbank_timeline::Recorder;
 use tokio::sync::{mpsc, watch};
 
@@ -71,7 +71,7 @@
 }
 
 fn spot(engines: &Engines, withdrawn: watch::Receiver<bool>) -> Spot {
-    let ask = Ask {
+    let ask = RouteRequest {
         service: &service(),
         traffic: Traffic::Batch,
         prefix: 0,
--- a/crates/tinbank-batch/tests/support/engines.rs
+++ b/crates/tinbank-batch/tests/support/engines.rs
@@ -18,7 +18,7 @@
     },
     platform::weights::Artifact,
 };
-use tinbank_routing::choice::{Ask, Choice, Router, Ticket};
+use tinbank_routing::choice::{RouteRequest, Choice, Router, Ticket};
 use tokio::sync::watch;
 
 /// A prompt with this word takes its engine's answer down each time.
@@ -182,11 +182,11 @@
 struct Silent;
 
 impl Ticket for Silent {
-    fn note(&self, _result: Result<(), &Error>, _now: Instant) {}
+    fn record_result(&self, _result: Result<(), &Error>, _now: Instant) {}
 }
 
 impl Router for Routes {
-    fn choose(&self, ask: &Ask<'_>, _now: Instant) -> Result<Choice, Failure> {
+    fn choose(&self, ask: &RouteRequest<'_>, _now: Instant) -> Result<Choice, Failure> {
         let mut untried = (0..self.0.count).filter(|upstream| !ask.tried.contains(upstream));
         let upstream = untried
             .next()
--- a/crates/tinbank-load/src/slopes/routing.rs
+++ b/crates/tinbank-load/src/slopes/routing.rs
@@ -12,7 +12,7 @@
     },
 };
 use tinbank_configuration::{service::Service, template::Traffic};
-use tinbank_routing::{Ask, Router, Table};
+use tinbank_routing::{RouteRequest, Router, Table};
 
 use super::{Allocated, Point, Series, micros, point, processor_time, weight};
 
@@ -48,7 +48,7 @@
     let service = service();
     let now = Instant::now();
     for prefix in 0..CHOICES {
-        let ask = Ask {
+        let ask = RouteRequest {
             service: &service,
             traffic: Traffic::Online,
             prefix: prefix.wrapping_mul(0x9e37_79b9_7f4a_7c15),
@@ -69,9 +69,9 @@
         upstreams,
         members: Vec::new(),
     };
-    table.list(&list, now);
+    table.apply_list(&list, now);
     for engine in &list.upstreams {
-        table.report(engine.upstream, report(), now);
+        table.record_report(engine.upstream, report(), now);
     }
     table
 }
--- a/crates/tinbank-online/src/control/load.rs
+++ b/crates/tinbank-online/src/control/load.rs
@@ -6,7 +6,7 @@
 /// Tells each change as it comes.
 pub(super) async fn tell(table: Table, teller: LoadReporter) {
     loop {
-        for load in table.changed().await {
+        for load in table.online_changed().await {
             teller.online(load.upstream, load.online);
         }
     }
--- a/crates/tinbank-online/src/control/mod.rs
+++ b/crates/tinbank-online/src/control/mod.rs
@@ -33,7 +33,7 @@
     loop {
         let list = lists.borrow_and_update().clone();
         if let Some(list) = list {
-            table.list(&list, clock::now());
+            table.apply_list(&list, clock::now());
         }
         if lists.changed().await.is_err() {
             return;
--- a/crates/tinbank-online/src/gate.rs
+++ b/crates/tinbank-online/src/gate.rs
@@ -13,8 +13,8 @@
     record::Writer,
 };
 use tinbank_routing::{
-    limit::{Keeper, Limiter, Refusal, Which, keeper::Answer, scope::Kind},
-    shed::{self, Active},
+    limit::{Keeper, Limiter, Refusal, LimitKind, keeper::Answer, scope::Kind},
+    shed::{self, ActiveRequests},
 };
 
 use tokio::sync::Notify;
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 struct State {
     limiter: Limiter,
-    active: Active,
+    active: ActiveRequests,
 }
 
 /// Leave for one request; it counts as running until this is dropped.
@@ -56,7 +56,7 @@
     pub(crate) fn new(own: Writer, now: Instant) -> Self {
         let state = State {
             limiter: Limiter::new(own.process.host, now),
-            active: Active::default(),
+            active: ActiveRequests::default(),
         };
         Self {
             state: Mutex::new(state),
@@ -78,26 +78,26 @@
 
     /// What the keepers of limits are to be asked now.
     pub(crate) fn asks(&self, now: Instant) -> Vec<(id::Host, Ask)> {
-        self.keeper().tidy(now);
+        self.keeper().remove_expired(now);
         self.state().limiter.asks(now)
     }
 
     /// Takes in what a host asks of the limits that we keep.
     pub(crate) fn asked(&self, from: Writer, ask: &Ask, now: Instant) -> Answer {
-        self.keeper().ask(from, ask, now)
+        self.keeper().on_ask(from, ask, now)
     }
 
     /// Takes in a keeper's answer.
     pub(crate) fn answered(&self, from: id::Host, grant: &Grant, now: Instant) {
         let mut state = self.state();
-        state.limiter.answer(from, grant, now);
+        state.limiter.on_grant(from, grant, now);
         self.wake(&state);
     }
 
     /// Takes in that a keeper wants to be asked again.
     pub(crate) fn recalled(&self, from: id::Host, recall: &Recall, now: Instant) {
         let mut state = self.state();
-        state.limiter.recall(from, recall, now);
+        state.limiter.on_recall(from, recall, now);
         self.wake(&state);
     }
 
@@ -130,7 +130,7 @@
         let customer = &request.customer;
         let pressure = ctx.table.pressure(&request.service, now);
         let mut state = ctx.gate.state();
-        if !shed::admits(pressure, state.active.part(&customer.name, customer.share)) {
+        if !shed::admits(pressure, state.active.customer_load(&customer.name, customer.share)) {
             return Err(overloaded());
         }
         let begun = state.limiter.begin(&request.scopes, now);
@@ -169,10 +169,10 @@
 }
 
 fn over_limit(customer: &str, refusal: Refusal, now: Instant) -> Failure {
-    let limit = match refusal.which {
-        Which::Requests => "requests a second",
-        Which::Tokens => "tokens a second",
-        Which::AtOnce => "requests at once",
+    let limit = match refusal.limit_kind {
+        LimitKind::Requests => "requests a second",
+        LimitKind::Tokens => "tokens a second",
+        LimitKind::Concurrency => "requests at once",
     };
     metrics::counter!("tinbank_online_limited_total", "limit" => limit).increment(1);
     let wait = refusal.retry_at.saturating_duration_since(now);
--- a/crates/tinbank-online/src/run/attempt.rs
+++ b/crates/tinbank-online/src/run/attempt.rs
@@ -56,7 +56,7 @@
     pub(crate) fn succeed(mut self) {
         self.armed = false;
         if let Some(choice) = &self.choice {
-            choice.ticket.note(Ok(()), clock::now());
+            choice.ticket.record_result(Ok(()), clock::now());
         }
     }
 
@@ -66,7 +66,7 @@
             self.armed = false;
         }
         if let Some(choice) = &self.choice {
-            choice.ticket.note(Err(error), clock::now());
+            choice.ticket.record_result(Err(error), clock::now());
         }
     }
 }
--- a/crates/tinbank-online/src/run/chat.rs
+++ b/crates/tinbank-online/src/run/chat.rs
@@ -14,7 +14,7 @@
 };
 use tinbank_configuration::template::Traffic;
 use tinbank_routing::{
-    Ask, Router as _,
+    RouteRequest, Router as _,
     retry::{Attempts, Decision},
 };
 use tokio::time::timeout_at;
@@ -100,7 +100,7 @@
 
     /// Sends the request to an upstream that was not tried yet.
     async fn begin(&mut self) -> Result<(), Trouble> {
-        let ask = Ask {
+        let ask = RouteRequest {
             service: &self.request.service,
             traffic: Traffic::Online,
             prefix: self.request.prefix,
@@ -112,7 +112,7 @@
         self.tried.push(target.upstream);
         self.journal.routed(target.upstream, choice.reason);
         let number = self.attempts.sent;
-        self.attempts.send(&mut self.ctx.budget());
+        self.attempts.record_sent(&mut self.ctx.budget());
         let mut attempt = Attempt::new(self.ctx.clone(), self.request.id, number, choice);
         let call = Call {
             request: attempt.id(),
@@ -145,7 +145,7 @@
 
     fn progress(&mut self, part: &Part) {
         match part {
-            Part::Token { .. } => self.attempts.progress(),
+            Part::Token { .. } => self.attempts.record_progress(),
             Part::End { .. } => {
                 if let Some(running) = self.running.take() {
                     running.attempt.succeed();
@@ -159,7 +159,7 @@
         if let Some(running) = self.running.take() {
             running.attempt.fail(error);
         }
-        let decision = self.attempts.fail(
+        let decision = self.attempts.record_failure(
             error,
             &mut self.ctx.budget(),
             clock::now(),
@@ -167,7 +167,7 @@
         );
         match decision {
             Decision::Stop(failure) => Err(failure),
-            Decision::Again => {
+            Decision::Retry => {
                 let (sent, from) = (self.attempts.sent, self.relay.next());
                 self.journal.retried(error, sent, from);
                 Ok(())
--- a/crates/tinbank-online/src/run/plain.rs
+++ b/crates/tinbank-online/src/run/plain.rs
@@ -11,7 +11,7 @@
 };
 use tinbank_configuration::template::Traffic;
 use tinbank_routing::{
-    Ask, Router as _,
+    RouteRequest, Router as _,
     retry::{Attempts, Decision},
 };
 
@@ -40,7 +40,7 @@
     let mut attempts = Attempts::new(request.repeatable, request.deadline);
     let mut tried: SmallVec<[id::Upstream; 4]> = SmallVec::new();
     loop {
-        let ask = Ask {
+        let ask = RouteRequest {
             service: &request.service,
             traffic: Traffic::Online,
             prefix: request.prefix,
@@ -51,7 +51,7 @@
         tried.push(choice.target.upstream);
         journal.routed(choice.target.upstream, choice.reason);
         let number = attempts.sent;
-        attempts.send(&mut ctx.budget());
+        attempts.record_sent(&mut ctx.budget());
         let attempt = Attempt::new(ctx.clone(), request.id, number, choice);
         let error = match send(ctx, request, &attempt).await {
             Ok(answer) => {
@@ -61,8 +61,8 @@
             Err(error) => error,
         };
         attempt.fail(&error);
-        match attempts.fail(&error, &mut ctx.budget(), clock::now(), SystemTime::now()) {
-            Decision::Again => journal.retried(&error, attempts.sent, 0),
+        match attempts.record_failure(&error, &mut ctx.budget(), clock::now(), SystemTime::now()) {
+            Decision::Retry => journal.retried(&error, attempts.sent, 0),
             Decision::Stop(failure) => return Err(failure),
         }
     }
--- a/crates/tinbank-online/src/run/tests/fixture.rs
+++ b/crates/tinbank-online/src/run/tests/fixture.rs
@@ -279,7 +279,7 @@
             role: id::Role::Online,
         };
         let table = Table::new("here", clock::now());
-        table.list(&list(upstreams), clock::now());
+        table.apply_list(&list(upstreams), clock::now());
         let scripted = Arc::new(Scripted::default());
         let peers = Arc::new(Answering::default());
         let writer = Writer {
--- a/crates/tinbank-online/src/run/tests/limits.rs
+++ b/crates/tinbank-online/src/run/tests/limits.rs
@@ -9,7 +9,7 @@
     record::Writer,
 };
 use tinbank_configuration::limit::Online;
-use tinbank_routing::limit::{Scope, Which, claim::LONGEST_HOLD, ring::Ring, scope};
+use tinbank_routing::limit::{Scope, LimitKind, claim::MAX_GRANT_TTL, ring::Ring, scope};
 
 use super::fixture::{Fixture, OTHER_HOST, request};
 use crate::{clock, control::limits, gate::Permit, request::Request};
@@ -24,7 +24,7 @@
     let fixture = Fixture::new(1, 0);
     let hosts = [OWN_HOST, OTHER_HOST].into();
     fixture.ctx.gate.set_hosts(hosts, clock::now());
-    tokio::time::advance(LONGEST_HOLD).await;
+    tokio::time::advance(MAX_GRANT_TTL).await;
     fixture
 }
 
@@ -117,7 +117,7 @@
     let request = limited(OWN_HOST);
     let_in(&fixture, &request);
     ask_all(&fixture);
-    let limit = scope::limit(request.scopes[0].key, Which::Requests);
+    let limit = scope::limit(request.scopes[0].key, LimitKind::Requests);
     let claim = Claim {
         limit,
         most: LIMIT,
@@ -166,7 +166,7 @@
         parts: [part].into_iter().collect(),
     };
     limits::told(&fixture.ctx, writer(OTHER_HOST), &Message::Grant(grant));
-    let limit = scope::limit(request.scopes[0].key, Which::Requests);
+    let limit = scope::limit(request.scopes[0].key, LimitKind::Requests);
     let recall = Recall {
         limits: [limit].into_iter().collect(),
     };
--- a/crates/tinbank-online/tests/stop.rs
+++ b/crates/tinbank-online/tests/stop.rs
@@ -110,7 +110,7 @@
         list: u64::MAX,
     };
 
-    world.server().table().hear(word, Instant::now());
+    world.server().table().apply_leaving(word, Instant::now());
 
     let everywhere = || {
         let mut tables = world.servers.iter().map(Server::table);
--- a/crates/tinbank-process/src/upstreams/leaving.rs
+++ b/crates/tinbank-process/src/upstreams/leaving.rs
@@ -11,8 +11,8 @@
 /// Passes on the first signs of leaving upstreams, our own and those that we heard of.
 pub(super) async fn pass_on(recorder: Recorder, table: Table, membership: Membership) {
     loop {
-        table.signed().await;
-        for leaving in table.leaving(now()) {
+        table.leaving_changed().await;
+        for leaving in table.leaving_updates(now()) {
             let subject = Subject {
                 upstream: Some(leaving.upstream),
                 ..Subject::default()
@@ -29,7 +29,7 @@
     loop {
         let words = leaving.borrow_and_update().clone();
         for word in words.iter() {
-            table.hear(*word, now());
+            table.apply_leaving(*word, now());
         }
         if leaving.changed().await.is_err() {
             return;
--- a/crates/tinbank-process/src/upstreams/reports.rs
+++ b/crates/tinbank-process/src/upstreams/reports.rs
@@ -36,8 +36,8 @@
         credit += per_tick;
         let due = credit as usize;
         credit -= due as f64;
-        let mut targets = table.ask_new(NEW_AT_A_TIME, now);
-        targets.extend(table.ask_next(due, now));
+        let mut targets = table.new_report_targets(NEW_AT_A_TIME, now);
+        targets.extend(table.next_report_targets(due, now));
         for target in targets {
             open.spawn(ask_one(upstreams.clone(), table.clone(), target));
         }
@@ -48,10 +48,10 @@
     let report = upstreams.report(target).await;
     let now = now();
     match report {
-        Ok(report) => table.report(target.upstream, report, now),
+        Ok(report) => table.record_report(target.upstream, report, now),
         Err(error) => {
             if matches!(error.kind, Kind::Connect(_)) {
-                table.unreachable(target.upstream, now);
+                table.record_unreachable(target.upstream, now);
             }
             log::debug!(
                 event = "report_failed",
--- a/crates/tinbank-process/src/upstreams/tests.rs
+++ b/crates/tinbank-process/src/upstreams/tests.rs
@@ -74,7 +74,7 @@
     const PER_SECOND: u32 = 2;
     let start = time::Instant::now().into_std();
     let table = Table::new("here", start);
-    table.list(&engines(ENGINES), start);
+    table.apply_list(&engines(ENGINES), start);
     let counting = Arc::new(Counting::default());
     tokio::spawn(reports::ask(counting.clone(), table, PER_SECOND));
 
--- a/crates/tinbank-routing/src/choice.rs
+++ b/crates/tinbank-routing/src/choice.rs
@@ -12,7 +12,7 @@
 
 /// What an upstream is sought for.
 #[derive(Clone, Debug)]
-pub struct Ask<'a> {
+pub struct RouteRequest<'a> {
     /// For which service.
     pub service: &'a Service,
     /// For online requests or for batch items.
@@ -36,7 +36,7 @@
 /// Learns what became of a choice. Dropping it ends the choice.
 pub trait Ticket: Send + Sync {
     /// Notes the result, for ejection and for leaving upstreams.
-    fn note(&self, result: Result<(), &upstream::Error>, now: Instant);
+    fn record_result(&self, result: Result<(), &upstream::Error>, now: Instant);
 }
 
 impl fmt::Debug for Choice {
@@ -54,5 +54,5 @@
     ///
     /// # Errors
     /// A failure with `ran: no` when no upstream can take it; it says when to ask again.
-    fn choose(&self, ask: &Ask<'_>, now: Instant) -> Result<Choice, Failure>;
+    fn choose(&self, ask: &RouteRequest<'_>, now: Instant) -> Result<Choice, Failure>;
 }
--- a/crates/tinbank-routing/src/limit/account.rs
+++ b/crates/tinbank-routing/src/limit/account.rs
@@ -8,7 +8,7 @@
     bucket::{Bucket, Rate},
     claim::{Claim, PATIENCE},
     demand::Average,
-    scope::Which,
+    scope::LimitKind,
     share,
 };
 
@@ -27,7 +27,7 @@
     pub(super) accepted: Average,
     pub(super) crowded: Average,
     pub(super) spent: Average,
-    pub(super) claims: [Claim; Which::ALL.len()],
+    pub(super) claims: [Claim; LimitKind::ALL.len()],
 }
 
 impl Account {
@@ -41,16 +41,16 @@
             accepted: Average::new(now),
             crowded: Average::new(now),
             spent: Average::new(now),
-            claims: [Claim::default(); Which::ALL.len()],
+            claims: [Claim::default(); LimitKind::ALL.len()],
         }
     }
 
     /// What is asked for, refused requests included.
-    pub(super) fn demand(&self, which: Which, now: Instant) -> f64 {
+    pub(super) fn demand(&self, limit_kind: LimitKind, now: Instant) -> f64 {
         let arrivals = self.arrivals.per_second(now);
-        match which {
-            Which::Requests => arrivals,
-            Which::Tokens => {
+        match limit_kind {
+            LimitKind::Requests => arrivals,
+            LimitKind::Tokens => {
                 let accepted = self.accepted.per_second(now);
                 let asked = if accepted > 0.0 {
                     arrivals / accepted
@@ -59,80 +59,80 @@
                 };
                 self.spent.per_second(now) * asked
             }
-            Which::AtOnce => f64::from(self.running) + self.crowded.per_second(now),
+            LimitKind::Concurrency => f64::from(self.running) + self.crowded.per_second(now),
         }
     }
 
-    pub(super) fn share(&self, which: Which, hosts: usize, now: Instant) -> Option<f64> {
-        let most = which.of(&self.limits)?;
-        Some(self.claims[which as usize].share(most.into(), hosts, now))
+    pub(super) fn share(&self, limit_kind: LimitKind, hosts: usize, now: Instant) -> Option<f64> {
+        let most = limit_kind.of(&self.limits)?;
+        Some(self.claims[limit_kind as usize].share(most.into(), hosts, now))
     }
 
     /// The demand that is worth an ask: none as long as the next request is let in anyhow.
-    pub(super) fn wanted(&self, which: Which, hosts: usize, now: Instant) -> f64 {
-        let is_served = which == Which::Requests
+    pub(super) fn wanted(&self, limit_kind: LimitKind, hosts: usize, now: Instant) -> f64 {
+        let is_served = limit_kind == LimitKind::Requests
             && is_small(&self.limits, hosts)
             && self.requests.holds(1.0)
-            && self.claims[which as usize].held(now) <= 0.0;
+            && self.claims[limit_kind as usize].held(now) <= 0.0;
         if is_served {
             return 0.0;
         }
-        self.demand(which, now)
+        self.demand(limit_kind, now)
     }
 
     /// Takes in the demand; returns whether any of it is new.
     pub(super) fn want(&mut self, hosts: usize, now: Instant) -> bool {
         let mut is_new = false;
-        for which in Which::ALL {
-            if let Some(most) = which.of(&self.limits) {
-                let demand = self.wanted(which, hosts, now);
-                is_new |= self.claims[which as usize].want(demand, most.into(), hosts, now);
+        for limit_kind in LimitKind::ALL {
+            if let Some(most) = limit_kind.of(&self.limits) {
+                let demand = self.wanted(limit_kind, hosts, now);
+                is_new |= self.claims[limit_kind as usize].want(demand, most.into(), hosts, now);
             }
         }
         is_new
     }
 
     /// When to ask again after a refusal: soon, if the keeper may let us have more.
-    fn retry_at(&self, which: Which, wait: Duration, hosts: usize, now: Instant) -> Instant {
-        if hosts > 1 && self.claims[which as usize].waits(now) {
+    fn retry_at(&self, limit_kind: LimitKind, wait: Duration, hosts: usize, now: Instant) -> Instant {
+        if hosts > 1 && self.claims[limit_kind as usize].waits(now) {
             return now + wait.min(PATIENCE);
         }
         now + wait
     }
 
     pub(super) fn fill(&mut self, hosts: usize, now: Instant) {
-        if let Some(share) = self.share(Which::Tokens, hosts, now) {
+        if let Some(share) = self.share(LimitKind::Tokens, hosts, now) {
             self.tokens.fill(rate(share, 1.0), now);
         }
-        if let Some(share) = self.share(Which::Requests, hosts, now) {
+        if let Some(share) = self.share(LimitKind::Requests, hosts, now) {
             let least = least(&self.limits, hosts);
             self.requests.fill(rate(share, least), now);
         }
     }
 
-    pub(super) fn check(&mut self, hosts: usize, now: Instant) -> Result<(), (Which, Instant)> {
+    pub(super) fn check(&mut self, hosts: usize, now: Instant) -> Result<(), (LimitKind, Instant)> {
         self.fill(hosts, now);
         let at_once = self.at_once(hosts, now);
         if at_once.is_some_and(|most| self.running >= most) {
             self.crowded.add(1.0, now);
-            return Err((Which::AtOnce, now + AT_ONCE_WAIT));
+            return Err((LimitKind::Concurrency, now + AT_ONCE_WAIT));
         }
-        if let Some(share) = self.share(Which::Tokens, hosts, now) {
+        if let Some(share) = self.share(LimitKind::Tokens, hosts, now) {
             // The price is known only afterwards: one is let in as long as nothing is owed.
             let owed = self.tokens.check(0.0, rate(share, 1.0));
             owed.map_err(|wait| {
                 (
-                    Which::Tokens,
-                    self.retry_at(Which::Tokens, wait, hosts, now),
+                    LimitKind::Tokens,
+                    self.retry_at(LimitKind::Tokens, wait, hosts, now),
                 )
             })?;
         }
-        if let Some(share) = self.share(Which::Requests, hosts, now) {
+        if let Some(share) = self.share(LimitKind::Requests, hosts, now) {
             let left = self.requests.check(1.0, rate(share, 1.0));
             left.map_err(|wait| {
                 (
-                    Which::Requests,
-                    self.retry_at(Which::Requests, wait, hosts, now),
+                    LimitKind::Requests,
+                    self.retry_at(LimitKind::Requests, wait, hosts, now),
                 )
             })?;
         }
@@ -142,8 +142,8 @@
     /// How many may run at once here. Till the keeper has answered that is an even part, so that a quiet customer's first
     /// requests are not refused; each host lets one in, or a limit below the number of hosts would let nobody in.
     fn at_once(&self, hosts: usize, now: Instant) -> Option<u32> {
-        let most = Which::AtOnce.of(&self.limits)?;
-        let claim = &self.claims[Which::AtOnce as usize];
+        let most = LimitKind::Concurrency.of(&self.limits)?;
+        let claim = &self.claims[LimitKind::Concurrency as usize];
         let share = claim.share(most.into(), hosts, now);
         let is_granted = claim.held(now) > 0.0;
         let share = match is_granted {
--- a/crates/tinbank-routing/src/limit/claim.rs
+++ b/crates/tinbank-routing/src/limit/claim.rs
@@ -15,7 +15,7 @@
 /// How long other grants hold.
 pub const HOLD: Duration = Duration::from_secs(10);
 /// How long a grant holds at most, when the keeper has many to answer.
-pub const LONGEST_HOLD: Duration = Duration::from_secs(30);
+pub const MAX_GRANT_TTL: Duration = Duration::from_secs(30);
 /// Demand below this is nothing to ask for.
 pub const NEGLIGIBLE: f64 = 0.05;
 /// A change of demand by this part of the limit is told before the grant has to be renewed.
@@ -146,7 +146,7 @@
             return false;
         }
         self.unanswered = 0;
-        let holds = Duration::from_secs(part.holds_s.into()).min(LONGEST_HOLD);
+        let holds = Duration::from_secs(part.holds_s.into()).min(MAX_GRANT_TTL);
         let amount = from_millis(part.millis);
         // The keeper can give to others what was taken from us only once we have said that we know.
         let is_lower = |grant: Grant| amount < grant.amount * (1.0 - CHANGE_OF_LIMIT);
--- a/crates/tinbank-routing/src/limit/keeper.rs
+++ b/crates/tinbank-routing/src/limit/keeper.rs
@@ -14,7 +14,7 @@
 
 use super::{
     bucket::Bucket,
-    claim::{HOLD, LONGEST_HOLD, SHORT_HOLD},
+    claim::{HOLD, MAX_GRANT_TTL, SHORT_HOLD},
     demand::{FRAME_BYTES, LIMIT_BYTES, PART_BYTES, budget, from_millis, millis},
     ring::Ring,
     share,
@@ -88,7 +88,7 @@
     }
 
     /// Takes in an ask.
-    pub fn ask(&mut self, from: Writer, ask: &Ask, now: Instant) -> Answer {
+    pub fn on_ask(&mut self, from: Writer, ask: &Ask, now: Instant) -> Answer {
         let own = self.own.process.host;
         let keeps = |claim: &Claim| self.ring.keeper(claim.limit) == Some(own);
         if !ask.claims.iter().all(keeps) {
@@ -145,7 +145,7 @@
     }
 
     /// Forgets what no longer counts. Call it about once a second.
-    pub fn tidy(&mut self, now: Instant) {
+    pub fn remove_expired(&mut self, now: Instant) {
         for kept in self.limits.values_mut() {
             kept.asking.retain(|_, asking| now < asking.until);
         }
@@ -174,7 +174,7 @@
     /// How long grants hold, so that the asks for their renewal stay few.
     fn hold(&self) -> Duration {
         let renewals = u32::try_from(self.asking()).unwrap_or(u32::MAX) / ANSWERS_PER_SECOND;
-        Duration::from_secs((2 * u64::from(renewals)).min(LONGEST_HOLD.as_secs())).max(HOLD)
+        Duration::from_secs((2 * u64::from(renewals)).min(MAX_GRANT_TTL.as_secs())).max(HOLD)
     }
 }
 
@@ -189,7 +189,7 @@
         // Whoever we don't know was granted what it holds by another keeper.
         let unknown_until = match claim.held_millis {
             0 => now,
-            _ => now + LONGEST_HOLD,
+            _ => now + MAX_GRANT_TTL,
         };
         let held_until = known.map_or(unknown_until, |known| known.until);
         let asking = Asking {
--- a/crates/tinbank-routing/src/limit/limiter.rs
+++ b/crates/tinbank-routing/src/limit/limiter.rs
@@ -15,7 +15,7 @@
     bucket::Bucket,
     demand::{CLAIM_BYTES, FRAME_BYTES, MAX_CLAIMS, budget, millis},
     ring::Ring,
-    scope::{self, Kind, Scope, Which},
+    scope::{self, Kind, Scope, LimitKind},
 };
 
 /// How often accounts are forgotten that are of no use.
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// Which limit.
-    pub which: Which,
+    pub limit_kind: LimitKind,
     /// Whether it is the customer's, the service's or the stream's.
     pub scope: Kind,
     /// When to ask again.
@@ -52,13 +52,13 @@
 struct Open {
     keeper: id::Host,
     at: Instant,
-    limits: Vec<(id::Limit, Which)>,
+    limits: Vec<(id::Limit, LimitKind)>,
 }
 
 /// A claim that its keeper should be told of.
 struct Due {
     key: id::Limit,
-    which: Which,
+    limit_kind: LimitKind,
     most: u32,
     demand: f64,
 }
@@ -96,8 +96,8 @@
             let checked = account.check(hosts, now);
             let is_urgent = checked.is_err() && account.want(hosts, now);
             self.is_urgent |= is_urgent;
-            let refused = |(which, retry_at)| Refusal {
-                which,
+            let refused = |(limit_kind, retry_at)| Refusal {
+                limit_kind,
                 scope: scope.kind,
                 retry_at,
             };
@@ -179,7 +179,7 @@
     }
 
     /// Takes in a keeper's answer.
-    pub fn answer(&mut self, from: id::Host, grant: &Grant, now: Instant) {
+    pub fn on_grant(&mut self, from: id::Host, grant: &Grant, now: Instant) {
         let is_ours = |open: &Open| {
             open.keeper == from
                 && open.limits.len() == grant.parts.len()
@@ -192,34 +192,34 @@
             return;
         };
         let hosts = self.hosts();
-        for ((key, which), part) in open.limits.iter().zip(&grant.parts) {
+        for ((key, limit_kind), part) in open.limits.iter().zip(&grant.parts) {
             if let Some(account) = self.accounts.get_mut(key) {
                 account.fill(hosts, now);
-                let claim = &mut account.claims[*which as usize];
+                let claim = &mut account.claims[*limit_kind as usize];
                 self.is_urgent |= claim.answer(grant.round, *part, now);
             }
         }
     }
 
     /// Takes in that a keeper wants to be asked again.
-    pub fn recall(&mut self, from: id::Host, recall: &Recall, now: Instant) {
+    pub fn on_recall(&mut self, from: id::Host, recall: &Recall, now: Instant) {
         for limit in &recall.limits {
-            let Some((key, which)) = scope::parts(*limit) else {
+            let Some((key, limit_kind)) = scope::parts(*limit) else {
                 continue;
             };
             if self.ring.keeper(key) != Some(from) {
                 continue;
             }
             if let Some(account) = self.accounts.get_mut(&key) {
-                self.is_urgent |= account.claims[which as usize].recall(now);
+                self.is_urgent |= account.claims[limit_kind as usize].recall(now);
             }
         }
     }
 
     /// What of a limit this host may use now; `None` if it is not known here.
-    pub fn share(&self, scope: &Scope, which: Which, now: Instant) -> Option<f64> {
+    pub fn share(&self, scope: &Scope, limit_kind: LimitKind, now: Instant) -> Option<f64> {
         let account = self.accounts.get(&scope.key)?;
-        account.share(which, self.hosts(), now)
+        account.share(limit_kind, self.hosts(), now)
     }
 
     /// Scopes that are remembered.
@@ -237,18 +237,18 @@
         let hosts = self.hosts();
         let mut due = Vec::new();
         for (key, account) in &self.accounts {
-            for which in Which::ALL {
-                let Some(most) = which.of(&account.limits) else {
+            for limit_kind in LimitKind::ALL {
+                let Some(most) = limit_kind.of(&account.limits) else {
                     continue;
                 };
-                let demand = account.wanted(which, hosts, now);
-                let claim = &account.claims[which as usize];
+                let demand = account.wanted(limit_kind, hosts, now);
+                let claim = &account.claims[limit_kind as usize];
                 if !claim.is_due(demand, most.into(), hosts, now) {
                     continue;
                 }
                 due.push(Due {
                     key: *key,
-                    which,
+                    limit_kind,
                     most,
                     demand,
                 });
@@ -262,10 +262,10 @@
         let round = self.round;
         let claims = due.iter().filter_map(|due| {
             let account = self.accounts.get_mut(&due.key)?;
-            let claim = &mut account.claims[due.which as usize];
+            let claim = &mut account.claims[due.limit_kind as usize];
             claim.ask(round, due.demand, due.most.into(), now);
             Some(Told {
-                limit: scope::limit(due.key, due.which),
+                limit: scope::limit(due.key, due.limit_kind),
                 most: due.most,
                 demand_millis: millis(due.demand),
                 held_millis: millis(claim.held(now)),
@@ -275,7 +275,7 @@
         let open = Open {
             keeper,
             at: now,
-            limits: due.iter().map(|due| (due.key, due.which)).collect(),
+            limits: due.iter().map(|due| (due.key, due.limit_kind)).collect(),
         };
         self.open.insert(round, open);
         Ask { round, claims }
--- a/crates/tinbank-routing/src/limit/ring.rs
+++ b/crates/tinbank-routing/src/limit/ring.rs
@@ -5,7 +5,7 @@
 use siphasher::sip::SipHasher13;
 use tinbank_base::id;
 
-use super::{claim::LONGEST_HOLD, scope};
+use super::{claim::MAX_GRANT_TTL, scope};
 
 /// The hosts that serve, now and lately.
 #[derive(Clone, Debug, Default)]
@@ -19,7 +19,7 @@
     /// Takes in which hosts serve. Returns whether that is news.
     pub fn set(&mut self, hosts: BTreeSet<id::Host>, now: Instant) -> bool {
         self.past
-            .retain(|(replaced, _)| *replaced + LONGEST_HOLD > now);
+            .retain(|(replaced, _)| *replaced + MAX_GRANT_TTL > now);
         if self.hosts == hosts {
             return false;
         }
@@ -43,7 +43,7 @@
     pub fn sole_from(&self, limit: id::Limit, keeper: id::Host) -> Option<Instant> {
         let others = self.past.iter().rev();
         let mut others = others.filter(|(_, hosts)| first(hosts, limit) != Some(keeper));
-        others.next().map(|(replaced, _)| *replaced + LONGEST_HOLD)
+        others.next().map(|(replaced, _)| *replaced + MAX_GRANT_TTL)
     }
 }
 
--- a/crates/tinbank-routing/src/limit/scope.rs
+++ b/crates/tinbank-routing/src/limit/scope.rs
@@ -8,25 +8,25 @@
 
 /// Which limit of a scope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Which {
+pub enum LimitKind {
     /// Requests a second.
     Requests,
     /// Tokens a second.
     Tokens,
     /// Requests at once.
-    AtOnce,
+    Concurrency,
 }
 
-impl Which {
+impl LimitKind {
     /// All of them.
-    pub const ALL: [Self; 3] = [Self::Requests, Self::Tokens, Self::AtOnce];
+    pub const ALL: [Self; 3] = [Self::Requests, Self::Tokens, Self::Concurrency];
 
     /// The limit of this kind.
     pub fn of(self, limits: &Online) -> Option<u32> {
         match self {
             Self::Requests => limits.requests_per_second,
             Self::Tokens => limits.tokens_per_second,
-            Self::AtOnce => limits.online_at_once,
+            Self::Concurrency => limits.online_at_once,
         }
     }
 }
@@ -94,16 +94,16 @@
 }
 
 /// The id of a limit of a scope.
-pub fn limit(key: id::Limit, which: Which) -> id::Limit {
-    key | which as u64
+pub fn limit(key: id::Limit, limit_kind: LimitKind) -> id::Limit {
+    key | limit_kind as u64
 }
 
 /// The scope's key and the limit that an id names; `None` if it names none.
-pub fn parts(limit: id::Limit) -> Option<(id::Limit, Which)> {
-    let which = Which::ALL
+pub fn parts(limit: id::Limit) -> Option<(id::Limit, LimitKind)> {
+    let limit_kind = LimitKind::ALL
         .into_iter()
-        .find(|which| *which as u64 == limit - key(limit));
-    Some((key(limit), which?))
+        .find(|limit_kind| *limit_kind as u64 == limit - key(limit));
+    Some((key(limit), limit_kind?))
 }
 
 /// The key of the scope that a limit belongs to.
--- a/crates/tinbank-routing/src/retry.rs
+++ b/crates/tinbank-routing/src/retry.rs
@@ -19,9 +19,9 @@
 pub const RESERVE_MILLIS: u64 = 10_000;
 
 /// When to ask again if no upstream could take the request.
-pub const ASK_AGAIN: Duration = Duration::from_secs(1);
+pub const RETRY_AFTER: Duration = Duration::from_secs(1);
 /// When to ask again if the upstreams are full, or the budget of sending again is used up: they need time to recover.
-pub const RECOVERY: Duration = Duration::from_secs(2);
+pub const OVERLOAD_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 const ONE_MILLIS: u64 = 1_000;
 
@@ -77,7 +77,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// Send it to another upstream.
-    Again,
+    Retry,
     /// Tell the caller.
     Stop(Failure),
 }
@@ -94,7 +94,7 @@
     }
 
     /// It is about to be sent.
-    pub fn send(&mut self, budget: &mut Budget) {
+    pub fn record_sent(&mut self, budget: &mut Budget) {
         if self.sent == 0 {
             budget.deposit();
         }
@@ -102,12 +102,12 @@
     }
 
     /// An attempt passed on a part of its answer, so it ran.
-    pub fn progress(&mut self) {
+    pub fn record_progress(&mut self) {
         self.ran = Ran::Unknown;
     }
 
     /// An attempt failed. `wall` is the time of day, for what the caller is told.
-    pub fn fail(
+    pub fn record_failure(
         &mut self,
         error: &Error,
         budget: &mut Budget,
@@ -119,11 +119,11 @@
         }
         let may_repeat = self.may_repeat(error, now);
         if may_repeat && budget.withdraw() {
-            return Decision::Again;
+            return Decision::Retry;
         }
         let failure = self.failure(error, now);
         let is_over_budget = may_repeat || failure.code == Code::Overloaded;
-        let wait = if is_over_budget { RECOVERY } else { ASK_AGAIN };
+        let wait = if is_over_budget { OVERLOAD_RETRY_AFTER } else { RETRY_AFTER };
         Decision::Stop(Failure {
             retry_at: self.may_come_back(failure.code).then(|| wall + wait),
             ..failure
--- a/crates/tinbank-routing/src/shed.rs
+++ b/crates/tinbank-routing/src/shed.rs
@@ -23,7 +23,7 @@
 
 /// The customer's part in what this process has in flight.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Part {
+pub struct CustomerLoad {
     /// The customer's requests.
     pub own: u64,
     /// The customer's weight.
@@ -35,7 +35,7 @@
 }
 
 /// Whether another request is let in.
-pub fn admits(pressure: Pressure, part: Part) -> bool {
+pub fn admits(pressure: Pressure, part: CustomerLoad) -> bool {
     let load = pressure.load.saturating_mul(100);
     let reaches = |percent: u64| load >= pressure.capacity.saturating_mul(percent);
     if pressure.capacity == 0 || !reaches(SHARED_PERCENT) {
@@ -48,7 +48,7 @@
 
 /// Which customers have requests in flight at this process, and their weights.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Active {
+pub struct ActiveRequests {
     customers: BTreeMap<id::Customer, Weighted>,
     total: u64,
     weights: u64,
@@ -60,12 +60,12 @@
     weight: u64,
 }
 
-impl Active {
+impl ActiveRequests {
     /// The part of a customer, as if it had one at least.
-    pub fn part(&self, customer: &str, weight: u32) -> Part {
+    pub fn customer_load(&self, customer: &str, weight: u32) -> CustomerLoad {
         let weight = u64::from(weight.max(1));
         let known = self.customers.get(customer).copied().unwrap_or_default();
-        Part {
+        CustomerLoad {
             own: known.running,
             weight,
             total: self.total,
--- a/crates/tinbank-routing/src/table/mod.rs
+++ b/crates/tinbank-routing/src/table/mod.rs
@@ -31,7 +31,7 @@
     ticket::Held,
 };
 use crate::{
-    choice::{Ask, Choice, Router},
+    choice::{RouteRequest, Choice, Router},
     health::Sign,
     leaving::Tracker,
     pick::{self, Candidate},
@@ -81,7 +81,7 @@
     }
 
     /// Takes in the host list. A list older than the one in force is ignored.
-    pub fn list(&self, list: &List, now: Instant) {
+    pub fn apply_list(&self, list: &List, now: Instant) {
         let mut tracker = self.inner.tracker();
         if !tracker.list(list, now) {
             return;
@@ -108,14 +108,14 @@
     }
 
     /// Takes in that an upstream can't be reached for its report, so that no caller has to find out.
-    pub fn unreachable(&self, upstream: id::Upstream, now: Instant) {
+    pub fn record_unreachable(&self, upstream: id::Upstream, now: Instant) {
         if let Some(entry) = self.inner.entries.load().by_upstream.get(&upstream) {
             entry.live.note(Sign::Down, now);
         }
     }
 
     /// Takes in an upstream's report.
-    pub fn report(&self, upstream: id::Upstream, report: Report, now: Instant) {
+    pub fn record_report(&self, upstream: id::Upstream, report: Report, now: Instant) {
         let entries = self.inner.entries.load();
         let Some(entry) = entries.by_upstream.get(&upstream) else {
             return;
@@ -127,7 +127,7 @@
     }
 
     /// Takes in a peer's word that an upstream is leaving. Returns whether it is news.
-    pub fn hear(&self, word: Leaving, now: Instant) -> bool {
+    pub fn apply_leaving(&self, word: Leaving, now: Instant) -> bool {
         let news = self.inner.tracker().hear(word, now);
         self.inner.mirror(word.upstream);
         if news {
@@ -137,12 +137,12 @@
     }
 
     /// Signs of leaving upstreams to pass on to peers.
-    pub fn leaving(&self, now: Instant) -> SmallVec<[Leaving; 4]> {
+    pub fn leaving_updates(&self, now: Instant) -> SmallVec<[Leaving; 4]> {
         self.inner.tracker().news(now)
     }
 
-    /// Waits until there is news for [`Table::leaving`]. For one listener, which passes the signs on.
-    pub async fn signed(&self) {
+    /// Waits until there is news for [`Table::leaving_updates`]. For one listener, which passes the signs on.
+    pub async fn leaving_changed(&self) {
         self.inner.signed.notified().await;
     }
 
@@ -163,10 +163,10 @@
     /// Waits until the online in-flight count of some upstream has changed, and returns the counts that did.
     ///
     /// For one listener, which tells the admission controllers.
-    pub async fn changed(&self) -> SmallVec<[Load; 4]> {
+    pub async fn online_changed(&self) -> SmallVec<[Load; 4]> {
         loop {
             self.inner.changed.notified().await;
-            let changes = self.take_changes();
+            let changes = self.take_online_changes();
             if !changes.is_empty() {
                 return changes;
             }
@@ -174,7 +174,7 @@
     }
 
     /// The online in-flight counts that have changed since they were last taken.
-    pub fn take_changes(&self) -> SmallVec<[Load; 4]> {
+    pub fn take_online_changes(&self) -> SmallVec<[Load; 4]> {
         let entries = self.inner.entries.load();
         entries
             .all
@@ -222,7 +222,7 @@
     }
 
     /// Engines that were never asked for their report. They count as asked from now on.
-    pub fn ask_new(&self, count: usize, now: Instant) -> SmallVec<[Target; 8]> {
+    pub fn new_report_targets(&self, count: usize, now: Instant) -> SmallVec<[Target; 8]> {
         let entries = self.inner.entries.load();
         let engines = entries.all.iter();
         let new = engines
@@ -237,7 +237,7 @@
 
     /// The engines that were asked for their report the longest ago. They count as asked from now on, so that an engine
     /// which does not answer is not asked all the time.
-    pub fn ask_next(&self, count: usize, now: Instant) -> SmallVec<[Target; 8]> {
+    pub fn next_report_targets(&self, count: usize, now: Instant) -> SmallVec<[Target; 8]> {
         let entries = self.inner.entries.load();
         let mut engines: Vec<&Arc<Entry>> = entries
             .all
@@ -255,7 +255,7 @@
 }
 
 impl Router for Table {
-    fn choose(&self, ask: &Ask<'_>, now: Instant) -> Result<Choice, Failure> {
+    fn choose(&self, ask: &RouteRequest<'_>, now: Instant) -> Result<Choice, Failure> {
         let entries = self.inner.entries.load();
         let pool = entries
             .by_pool
@@ -280,7 +280,7 @@
 
 fn gather<'a>(
     pool: &'a [Arc<Entry>],
-    ask: &Ask<'_>,
+    ask: &RouteRequest<'_>,
     now: Instant,
 ) -> (Vec<&'a Arc<Entry>>, Vec<Candidate>) {
     let artifact = ask.service.artifact.as_ref();
@@ -291,7 +291,7 @@
         .unzip()
 }
 
-fn refusal(ask: &Ask<'_>) -> Failure {
+fn refusal(ask: &RouteRequest<'_>) -> Failure {
     let message = if ask.tried.is_empty() {
         format!(
             "no upstream of pool {:?} can take the request now",
--- a/crates/tinbank-routing/src/table/ticket.rs
+++ b/crates/tinbank-routing/src/table/ticket.rs
@@ -42,7 +42,7 @@
 }
 
 impl Ticket for Held {
-    fn note(&self, result: Result<(), &upstream::Error>, now: Instant) {
+    fn record_result(&self, result: Result<(), &upstream::Error>, now: Instant) {
         let sign = match result {
             Ok(()) => Sign::Good,
             Err(error) => Sign::of(&error.kind),
--- a/crates/tinbank-routing/tests/limits/fleet.rs
+++ b/crates/tinbank-routing/tests/limits/fleet.rs
@@ -13,7 +13,7 @@
     record::Writer,
 };
 use tinbank_configuration::limit::Online;
-use tinbank_routing::limit::{Keeper, Limiter, Scope, claim::LONGEST_HOLD, scope::Subject};
+use tinbank_routing::limit::{Keeper, Limiter, Scope, claim::MAX_GRANT_TTL, scope::Subject};
 
 pub const STEP: Duration = Duration::from_millis(10);
 /// Steps between two looks at what has to be asked.
@@ -46,7 +46,7 @@
     /// Hosts that have known each other for so long that no earlier keeper's grants may hold.
     pub fn new(size: u32, seed: u64) -> Self {
         let mut fleet = Self::starting(size, seed);
-        fleet.now += LONGEST_HOLD;
+        fleet.now += MAX_GRANT_TTL;
         fleet
     }
 
@@ -133,7 +133,7 @@
             let host = &mut self.hosts[number];
             if host.is_alive && (is_look || host.limiter.is_urgent()) {
                 if is_look {
-                    host.keeper.tidy(self.now);
+                    host.keeper.remove_expired(self.now);
                 }
                 let asks = host.limiter.asks(self.now);
                 for (keeper, ask) in asks {
@@ -159,7 +159,7 @@
         }
         match message {
             Message::Ask(ask) => {
-                let answer = host.keeper.ask(writer(from), &ask, now);
+                let answer = host.keeper.on_ask(writer(from), &ask, now);
                 if let Some(grant) = answer.grant {
                     self.tell(to, from, Message::Grant(grant));
                 }
@@ -167,8 +167,8 @@
                     self.tell(to, holder.process.host, Message::Recall(recall));
                 }
             }
-            Message::Grant(grant) => host.limiter.answer(from, &grant, now),
-            Message::Recall(recall) => host.limiter.recall(from, &recall, now),
+            Message::Grant(grant) => host.limiter.on_grant(from, &grant, now),
+            Message::Recall(recall) => host.limiter.on_recall(from, &recall, now),
         }
     }
 
--- a/crates/tinbank-routing/tests/limits/main.rs
+++ b/crates/tinbank-routing/tests/limits/main.rs
@@ -10,9 +10,9 @@
 use proptest::prelude::*;
 use tinbank_configuration::limit::Online;
 use tinbank_routing::limit::{
-    Limiter, Scope, Which,
+    Limiter, Scope, LimitKind,
     bucket::{Bucket, Rate},
-    claim::{HOLD, LONGEST_HOLD},
+    claim::{HOLD, MAX_GRANT_TTL},
     ring::Ring,
     scope::{Kind, Subject},
     share::{self, Demand},
@@ -244,7 +244,7 @@
     fleet.lose(keeper);
     let unnoticed: Vec<u32> = (0..5).map(|_| fleet.second(&scope, &arrivals)).collect();
     fleet.tell_hosts((0..4).filter(|host| *host != keeper).collect());
-    let grace = LONGEST_HOLD.as_secs() as usize;
+    let grace = MAX_GRANT_TTL.as_secs() as usize;
     let waiting: Vec<u32> = (0..grace)
         .map(|_| fleet.second(&scope, &arrivals))
         .collect();
@@ -411,10 +411,10 @@
 
     // A new account begins with an even part of a second; after that only the service's limit is in the way.
     assert_eq!(
-        (first.scope, first.which),
-        (Kind::Customer, Which::Requests)
+        (first.scope, first.limit_kind),
+        (Kind::Customer, LimitKind::Requests)
     );
-    assert_eq!((later.scope, later.which), (Kind::Service, Which::AtOnce));
+    assert_eq!((later.scope, later.limit_kind), (Kind::Service, LimitKind::Concurrency));
 }
 
 #[test]
@@ -449,7 +449,7 @@
     let refused = limiter.begin(&scopes, now).unwrap_err();
     limiter.end(&scopes);
 
-    assert_eq!(refused.which, Which::AtOnce);
+    assert_eq!(refused.limit_kind, LimitKind::Concurrency);
     assert!(refused.retry_at > now);
     assert!(limiter.begin(&scopes, now).is_ok());
 }
@@ -469,7 +469,7 @@
 
     let refused = limiter.begin(&scopes, now).unwrap_err();
 
-    assert_eq!(refused.which, Which::Tokens);
+    assert_eq!(refused.limit_kind, LimitKind::Tokens);
     assert!(refused.retry_at >= now + Duration::from_secs(2));
     assert!(limiter.begin(&scopes, refused.retry_at).is_ok());
 }
--- a/crates/tinbank-routing/tests/retry.rs
+++ b/crates/tinbank-routing/tests/retry.rs
@@ -8,7 +8,7 @@
     platform::upstream::{Error, Kind},
 };
 use tinbank_routing::retry::{
-    ASK_AGAIN, Attempts, Budget, Decision, MAX_ATTEMPTS, RATIO_MILLIS, RECOVERY, RESERVE_MILLIS,
+    RETRY_AFTER, Attempts, Budget, Decision, MAX_ATTEMPTS, RATIO_MILLIS, OVERLOAD_RETRY_AFTER, RESERVE_MILLIS,
 };
 use tinbank_test_support::property;
 use yare::parameterized;
@@ -54,10 +54,10 @@
         let mut budget = Budget::default();
         let mut may_have_run = 0;
         for (ran, kind) in failures {
-            attempts.send(&mut budget);
+            attempts.record_sent(&mut budget);
             may_have_run += u32::from(ran != Ran::No);
-            match attempts.fail(&error(ran, kind), &mut budget, now, UNIX_EPOCH) {
-                Decision::Again => prop_assert_eq!(may_have_run, 0),
+            match attempts.record_failure(&error(ran, kind), &mut budget, now, UNIX_EPOCH) {
+                Decision::Retry => prop_assert_eq!(may_have_run, 0),
                 Decision::Stop(failure) => {
                     prop_assert_eq!(failure.ran == Ran::No, may_have_run == 0);
                     break;
@@ -77,9 +77,9 @@
         let mut budget = Budget::default();
         let mut all_not_run = true;
         for (ran, kind) in failures {
-            attempts.send(&mut budget);
+            attempts.record_sent(&mut budget);
             all_not_run &= ran == Ran::No;
-            if let Decision::Stop(failure) = attempts.fail(&error(ran, kind), &mut budget, now, UNIX_EPOCH) {
+            if let Decision::Stop(failure) = attempts.record_failure(&error(ran, kind), &mut budget, now, UNIX_EPOCH) {
                 prop_assert_eq!(failure.ran == Ran::No, all_not_run);
                 break;
             }
@@ -92,9 +92,9 @@
         let now = Instant::now();
         let mut attempts = Attempts::new(true, now);
         let mut budget = Budget::default();
-        attempts.send(&mut budget);
+        attempts.record_sent(&mut budget);
 
-        let decision = attempts.fail(&error(ran, kind), &mut budget, now, UNIX_EPOCH);
+        let decision = attempts.record_failure(&error(ran, kind), &mut budget, now, UNIX_EPOCH);
 
         prop_assert!(matches!(decision, Decision::Stop(_)));
     }
@@ -120,8 +120,8 @@
     let now = Instant::now();
     let mut attempts = Attempts::new(true, now + Duration::from_secs(1));
     let mut budget = Budget::default();
-    attempts.send(&mut budget);
-    attempts.progress();
+    attempts.record_sent(&mut budget);
+    attempts.record_progress();
 
     let refused = error(
         Ran::No,
@@ -130,7 +130,7 @@
             message: String::new(),
         },
     );
-    let decision = attempts.fail(&refused, &mut budget, now, UNIX_EPOCH);
+    let decision = attempts.record_failure(&refused, &mut budget, now, UNIX_EPOCH);
 
     let Decision::Stop(failure) = decision else {
         panic!("a rejected body is not sent again");
@@ -142,10 +142,10 @@
 }
 
 #[parameterized(
-    full = { false, Ran::No, Kind::Full, Code::Overloaded, Some(RECOVERY) },
-    no_connection = { false, Ran::No, Kind::Connect(String::new()), Code::NoUpstream, Some(ASK_AGAIN) },
-    leaving = { false, Ran::No, Kind::Leaving, Code::NoUpstream, Some(ASK_AGAIN) },
-    cut_but_repeatable = { true, Ran::Unknown, Kind::Cut(String::new()), Code::UpstreamFailed, Some(ASK_AGAIN) },
+    full = { false, Ran::No, Kind::Full, Code::Overloaded, Some(OVERLOAD_RETRY_AFTER) },
+    no_connection = { false, Ran::No, Kind::Connect(String::new()), Code::NoUpstream, Some(RETRY_AFTER) },
+    leaving = { false, Ran::No, Kind::Leaving, Code::NoUpstream, Some(RETRY_AFTER) },
+    cut_but_repeatable = { true, Ran::Unknown, Kind::Cut(String::new()), Code::UpstreamFailed, Some(RETRY_AFTER) },
     outcome_unknown = { false, Ran::Unknown, Kind::Cut(String::new()), Code::OutcomeUnknown, None },
     late = { true, Ran::Unknown, Kind::Timeout, Code::Timeout, None },
 )]
@@ -160,7 +160,7 @@
     let mut attempts = Attempts::new(repeatable, now + Duration::from_secs(1));
     attempts.sent = MAX_ATTEMPTS;
 
-    let decision = attempts.fail(&error(ran, kind), &mut Budget::default(), now, UNIX_EPOCH);
+    let decision = attempts.record_failure(&error(ran, kind), &mut Budget::default(), now, UNIX_EPOCH);
 
     let Decision::Stop(failure) = decision else {
         panic!("it was sent as often as may be");
@@ -178,12 +178,12 @@
     attempts.sent = 1;
 
     let refused = error(Ran::No, Kind::Connect(String::new()));
-    let decision = attempts.fail(&refused, &mut budget, now, UNIX_EPOCH);
+    let decision = attempts.record_failure(&refused, &mut budget, now, UNIX_EPOCH);
 
     let Decision::Stop(failure) = decision else {
         panic!("the budget is used up");
     };
-    assert_eq!(failure.retry_at, Some(UNIX_EPOCH + RECOVERY));
+    assert_eq!(failure.retry_at, Some(UNIX_EPOCH + OVERLOAD_RETRY_AFTER));
 }
 
 #[parameterized(
@@ -198,7 +198,7 @@
 ) {
     let mut attempts = Attempts::new(repeatable, Instant::now());
     attempts.ran = ran;
-    let refusal = Failure::not_run(Code::NoUpstream, "none").retry_at(UNIX_EPOCH + ASK_AGAIN);
+    let refusal = Failure::not_run(Code::NoUpstream, "none").retry_at(UNIX_EPOCH + RETRY_AFTER);
 
     let failure = attempts.exhausted(refusal);
 
--- a/crates/tinbank-routing/tests/shed.rs
+++ b/crates/tinbank-routing/tests/shed.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use proptest::prelude::*;
-use tinbank_routing::shed::{self, Active, Part, Pressure};
+use tinbank_routing::shed::{self, ActiveRequests, CustomerLoad, Pressure};
 use tinbank_test_support::property;
 use yare::parameterized;
 
@@ -14,8 +14,8 @@
     }
 }
 
-fn part(own: u64, total: u64) -> Part {
-    Part {
+fn part(own: u64, total: u64) -> CustomerLoad {
+    CustomerLoad {
         own,
         weight: 1,
         total,
@@ -30,13 +30,13 @@
     overloaded_and_under_its_share = { 150, part(1, 10), true },
     full = { 300, part(0, 10), false },
 )]
-fn sheds(load: u64, part: Part, admitted: bool) {
+fn sheds(load: u64, part: CustomerLoad, admitted: bool) {
     assert_eq!(shed::admits(pressure(load), part), admitted);
 }
 
 #[test]
 fn a_single_customer_is_not_over_its_share() {
-    let part = Part {
+    let part = CustomerLoad {
         own: 50,
         weight: 3,
         total: 50,
@@ -63,7 +63,7 @@
     fn active_customers_are_counted_as_a_naive_list_counts_them(
         steps in prop::collection::vec((0_u32..4, 0_u32..5, any::<bool>()), 0..80),
     ) {
-        let mut active = Active::default();
+        let mut active = ActiveRequests::default();
         let mut naive: BTreeMap<String, (u64, u64)> = BTreeMap::new();
         for (customer, weight, begins) in steps {
             let name = format!("customer-{customer}");
@@ -79,10 +79,10 @@
                 }
                 naive.retain(|_, (running, _)| *running > 0);
             }
-            let part = active.part(&name, weight);
+            let part = active.customer_load(&name, weight);
             let others = naive.iter().filter(|(other, _)| **other != name);
             let weights: u64 = others.map(|(_, (_, weight))| weight).sum();
-            let expected = Part {
+            let expected = CustomerLoad {
                 own: naive.get(&name).map_or(0, |(running, _)| *running),
                 weight: weight_used,
                 total: naive.values().map(|(running, _)| running).sum(),
--- a/crates/tinbank-routing/tests/table.rs
+++ b/crates/tinbank-routing/tests/table.rs
@@ -17,7 +17,7 @@
     },
 };
 use tinbank_configuration::{service::Service, template::Traffic};
-use tinbank_routing::{Ask, Choice, Router as _, Table, health::FIRST, leaving::HOLD};
+use tinbank_routing::{RouteRequest, Choice, Router as _, Table, health::FIRST, leaving::HOLD};
 use yare::parameterized;
 
 const POOL: &str = "notes";
@@ -67,13 +67,13 @@
 
 fn table(engines: u32, now: Instant) -> Table {
     let table = Table::new("here", now);
-    table.list(&list(1, (1..=engines).map(engine).collect()), now);
+    table.apply_list(&list(1, (1..=engines).map(engine).collect()), now);
     table
 }
 
 fn choose(table: &Table, traffic: Traffic, tried: &[id::Upstream], now: Instant) -> Option<Choice> {
     let service = service();
-    let ask = Ask {
+    let ask = RouteRequest {
         service: &service,
         traffic,
         prefix: 3,
@@ -114,11 +114,11 @@
     let table = table(1, now);
 
     let batch = choose(&table, Traffic::Batch, &[], now);
-    let after_batch = table.take_changes();
+    let after_batch = table.take_online_changes();
     let online = online(&table, now);
-    let after_online = table.take_changes();
+    let after_online = table.take_online_changes();
     drop((batch, online));
-    let after_end = table.take_changes();
+    let after_end = table.take_online_changes();
 
     assert!(after_batch.is_empty());
     let load = |online| Load {
@@ -135,7 +135,7 @@
     let table = table(2, now);
     let listener = tokio::spawn({
         let table = table.clone();
-        async move { table.changed().await }
+        async move { table.online_changed().await }
     });
 
     let choice = online(&table, now).expect("an engine is free");
@@ -150,7 +150,7 @@
     let table = table(1, now);
     let choice = online(&table, now);
 
-    table.list(&list(2, vec![engine(1), engine(2)]), now);
+    table.apply_list(&list(2, vec![engine(1), engine(2)]), now);
     let during = table.in_flight(1, Traffic::Online);
     drop(choice);
 
@@ -177,7 +177,7 @@
     let now = Instant::now();
     let table = table(0, now);
     let service = service();
-    let ask = Ask {
+    let ask = RouteRequest {
         service: &service,
         traffic: Traffic::Online,
         prefix: 0,
@@ -198,7 +198,7 @@
 fn it_is_no_candidate(upstream: Upstream) {
     let now = Instant::now();
     let table = Table::new("here", now);
-    table.list(&list(1, vec![upstream]), now);
+    table.apply_list(&list(1, vec![upstream]), now);
 
     assert!(online(&table, now).is_none());
 }
@@ -211,8 +211,8 @@
         loaded: [artifact()].into_iter().collect(),
         ..Report::default()
     };
-    table.report(1, Report::default(), now);
-    table.report(2, loaded, now);
+    table.record_report(1, Report::default(), now);
+    table.record_report(2, loaded, now);
 
     let chosen: Vec<id::Upstream> = [vec![], vec![2], vec![2, 3]]
         .iter()
@@ -230,7 +230,7 @@
     let first = online(&table, now).expect("an engine is free");
     let left = first.target.upstream;
 
-    first.ticket.note(Err(&error(upstream::Kind::Leaving)), now);
+    first.ticket.record_result(Err(&error(upstream::Kind::Leaving)), now);
 
     let after = online(&table, now).expect("the other one is free");
     assert_ne!(after.target.upstream, left);
@@ -238,14 +238,14 @@
         upstream: left,
         list: 1,
     };
-    assert_eq!(table.leaving(now).as_slice(), [word]);
+    assert_eq!(table.leaving_updates(now).as_slice(), [word]);
 }
 
 #[test]
 fn a_sign_that_no_list_confirms_ends_without_a_new_list() {
     let now = Instant::now();
     let table = table(1, now);
-    table.hear(
+    table.apply_leaving(
         Leaving {
             upstream: 1,
             list: 1,
@@ -266,8 +266,8 @@
         ..Report::default()
     };
 
-    table.report(1, report, now);
-    let news = table.hear(
+    table.record_report(1, report, now);
+    let news = table.apply_leaving(
         Leaving {
             upstream: 2,
             list: 1,
@@ -287,7 +287,7 @@
     let ejected = first.target.upstream;
     first
         .ticket
-        .note(Err(&error(upstream::Kind::Connect(String::new()))), now);
+        .record_result(Err(&error(upstream::Kind::Connect(String::new()))), now);
     drop(first);
     let other = 3 - ejected;
 
@@ -300,7 +300,7 @@
     assert_eq!((probe.target.upstream, probe.reason), (ejected, "probe"));
     assert_eq!(beside.target.upstream, other);
     drop((during, beside));
-    probe.ticket.note(Ok(()), later);
+    probe.ticket.record_result(Ok(()), later);
     drop(probe);
     let back = online(&table, later).expect("it is back");
     assert_eq!((back.target.upstream, back.reason), (ejected, "affinity"));
@@ -312,7 +312,7 @@
     let table = table(6, now);
 
     let asked: Vec<id::Upstream> = (0..6)
-        .flat_map(|second| table.ask_next(2, now + Duration::from_secs(second)))
+        .flat_map(|second| table.next_report_targets(2, now + Duration::from_secs(second)))
         .map(|target| target.upstream)
         .collect();
 
@@ -330,7 +330,7 @@
         loaded: [artifact()].into_iter().collect(),
         ..Report::default()
     };
-    table.report(1, report, now);
+    table.record_report(1, report, now);
     let _choice = online(&table, now);
 
     let pressure = table.pressure(&service(), now);
