--- a/crates/tinbank-routing/src/choice.rs
+++ b/crates/tinbank-routing/src/choice.rs
@@ -1,4 +1,4 @@
-//! The border of routing: what is asked, what is chosen.
+//! Interface of routing: requests, choices and the router.
 
 use std::{fmt, time::Instant};
 
@@ -10,32 +10,29 @@
 };
 use tinbank_configuration::{service::Service, template::Traffic};
 
-/// What an upstream is sought for.
+/// A request for an upstream.
 #[derive(Clone, Debug)]
 pub struct RouteRequest<'a> {
-    /// For which service.
     pub service: &'a Service,
-    /// For online requests or for batch items.
     pub traffic: Traffic,
-    /// Hash of the prompt's prefix; requests that share it do better at one engine.
+    /// Hash of the prompt's prefix. Requests that share it are faster at the same engine, by its cache.
     pub prefix: u64,
-    /// Upstreams that were tried already.
+    /// Upstreams to which the request was sent before.
     pub tried: SmallVec<[id::Upstream; 4]>,
 }
 
-/// The upstream chosen. It counts as in flight until it is dropped.
+/// The chosen upstream. The request counts as in flight there until this is dropped.
 pub struct Choice {
-    /// Where to send the call.
     pub target: Target,
-    /// Why, for the time line.
+    /// Reason of the choice, for the timeline.
     pub reason: &'static str,
-    /// Takes the choice out of the count and learns from the result.
+    /// Records the result, and ends the count when dropped.
     pub ticket: Box<dyn Ticket>,
 }
 
-/// Learns what became of a choice. Dropping it ends the choice.
+/// Records the result of a request. Dropping it ends the in-flight count.
 pub trait Ticket: Send + Sync {
-    /// Notes the result, for ejection and for leaving upstreams.
+    /// Records the result, which may eject the upstream or mark it as leaving.
     fn record_result(&self, result: Result<(), &upstream::Error>, now: Instant);
 }
 
@@ -50,9 +47,9 @@
 
 /// Chooses upstreams. Called from traffic threads; it must not block.
 pub trait Router: Send + Sync + fmt::Debug {
-    /// Chooses the upstream that is best for the request now.
+    /// Chooses the best upstream for the request.
     ///
     /// # Errors
-    /// A failure with `ran: no` when no upstream can take it; it says when to ask again.
-    fn choose(&self, ask: &RouteRequest<'_>, now: Instant) -> Result<Choice, Failure>;
+    /// Returns a failure with `ran: no` and a time to retry if no upstream can take the request.
+    fn choose(&self, request: &RouteRequest<'_>, now: Instant) -> Result<Choice, Failure>;
 }
--- a/crates/tinbank-routing/src/health.rs
+++ b/crates/tinbank-routing/src/health.rs
@@ -1,4 +1,4 @@
-//! Ejects an upstream that keeps failing, and lets it back by a single probe.
+//! Ejects an upstream that keeps failing, and restores it after a single successful probe.
 //!
 //! See `docs/design/routing.md`.
 
@@ -6,47 +6,47 @@
 
 use tinbank_base::platform::upstream::Kind;
 
-/// Failures in a row after which an upstream is ejected.
-pub const FAILURES: u32 = 3;
-/// Time of the first ejection; each further one in a row doubles it.
-pub const FIRST: Duration = Duration::from_millis(500);
-/// Longest ejection.
-pub const LONGEST: Duration = Duration::from_secs(15);
+/// Number of consecutive failures after which an upstream is ejected.
+pub const EJECTION_THRESHOLD: u32 = 3;
+/// Duration of the first ejection. Each consecutive one doubles it.
+pub const FIRST_EJECTION: Duration = Duration::from_millis(500);
+/// Longest duration of an ejection.
+pub const MAX_EJECTION: Duration = Duration::from_secs(15);
 
-/// What a result says of an upstream.
+/// What the result of a call indicates about an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
-    /// It works.
-    Good,
-    /// It may be broken.
-    Bad,
-    /// It can't be reached at all.
-    Down,
-    /// Nothing: it refused for a reason of its own or of the caller's.
+pub enum Signal {
+    /// It answered.
+    Healthy,
+    /// It may be faulty.
+    Failing,
+    /// It can't be reached.
+    Unreachable,
+    /// Nothing, for example since it is full or the caller's deadline passed.
     Neutral,
 }
 
-impl Sign {
-    /// Reads a failed call.
+impl Signal {
+    /// Returns the signal of a failed call.
     pub fn of(kind: &Kind) -> Self {
         match kind {
-            Kind::Connect(_) => Self::Down,
-            Kind::Cut(_) | Kind::Crossed(_) | Kind::Failed { .. } => Self::Bad,
-            // The deadline is the caller's: a short one says nothing of the upstream.
+            Kind::Connect(_) => Self::Unreachable,
+            Kind::Cut(_) | Kind::Crossed(_) | Kind::Failed { .. } => Self::Failing,
+            // Deadlines are set by callers, so a timeout is no evidence against the upstream.
             Kind::Timeout | Kind::Leaving | Kind::Full => Self::Neutral,
-            Kind::Rejected { .. } => Self::Good,
+            Kind::Rejected { .. } => Self::Healthy,
         }
     }
 }
 
-/// What changed by a result.
+/// Effect of a result on the state of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing.
+    /// No change.
     None,
-    /// It gets no work until the time given.
+    /// It gets no requests until the given time.
     Ejected(Instant),
-    /// It gets work again.
+    /// It gets requests again.
     Returned,
 }
 
@@ -59,22 +59,22 @@
 }
 
 impl Health {
-    /// Takes in the result of one call.
-    pub fn note(&mut self, sign: Sign, now: Instant) -> Change {
-        match sign {
-            Sign::Neutral => Change::None,
-            Sign::Good => self.succeed(),
-            Sign::Bad => self.fail(1, now),
-            Sign::Down => self.fail(FAILURES, now),
+    /// Records the result of one call.
+    pub fn record(&mut self, signal: Signal, now: Instant) -> Change {
+        match signal {
+            Signal::Neutral => Change::None,
+            Signal::Healthy => self.on_success(),
+            Signal::Failing => self.on_failure(1, now),
+            Signal::Unreachable => self.on_failure(EJECTION_THRESHOLD, now),
         }
     }
 
-    /// Until when it is ejected; a time in the past means that one probe may go.
+    /// Returns the end of the ejection, after which one probe may be sent.
     pub fn ejected_until(&self) -> Option<Instant> {
         self.ejected_until
     }
 
-    fn succeed(&mut self) -> Change {
+    fn on_success(&mut self) -> Change {
         let was = std::mem::take(self);
         if was.ejected_until.is_some() {
             Change::Returned
@@ -83,18 +83,18 @@
         }
     }
 
-    fn fail(&mut self, weight: u32, now: Instant) -> Change {
+    fn on_failure(&mut self, weight: u32, now: Instant) -> Change {
         if self.ejected_until.is_some_and(|until| now < until) {
-            // It was sent before the ejection, and tells nothing new.
+            // The request was sent before the ejection.
             return Change::None;
         }
         self.failures = self.failures.saturating_add(weight);
         let probe_failed = self.ejected_until.is_some();
-        if self.failures < FAILURES && !probe_failed {
+        if self.failures < EJECTION_THRESHOLD && !probe_failed {
             return Change::None;
         }
-        let doubled = FIRST.saturating_mul(1 << self.ejections.min(10));
-        let until = now + doubled.min(LONGEST);
+        let doubled = FIRST_EJECTION.saturating_mul(1 << self.ejections.min(10));
+        let until = now + doubled.min(MAX_EJECTION);
         self.ejections = self.ejections.saturating_add(1);
         self.ejected_until = Some(until);
         Change::Ejected(until)
--- a/crates/tinbank-routing/src/pick.rs
+++ b/crates/tinbank-routing/src/pick.rs
@@ -1,82 +1,81 @@
-//! The choice itself: prefix affinity by rendezvous hashing, bounded by load. Pure.
+//! Choice among candidates: prefix affinity by rendezvous hashing, bounded by load. Free of I/O and state.
 //!
-//! See `docs/design/routing.md` for the ways that were weighed.
+//! See `docs/design/routing.md` for the alternatives.
 
 use std::hash::Hasher as _;
 
 use siphasher::sip::SipHasher13;
 use tinbank_base::id;
 
-/// How far above the mean an upstream's own in-flight count may rise before affinity yields, in per cent.
-pub const BOUND_PERCENT: u32 = 125;
+/// Largest number of in-flight requests of this process at an upstream, in per cent of the mean, up to which affinity applies.
+pub const LOAD_BOUND_PERCENT: u32 = 125;
 
-/// An upstream as the choice sees it.
+/// Properties of an upstream that the choice depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// Which upstream.
     pub upstream: id::Upstream,
-    /// Requests that this process has in flight there.
+    /// Number of requests that this process has in flight there.
     pub own: u32,
-    /// Requests of others there, by its last report.
+    /// Number of requests of other processes there, from its last report.
     pub others: u32,
-    /// Requests that waited inside it, by its last report.
+    /// Number of requests queued in it, from its last report.
     pub waiting: u32,
-    /// Requests that it runs at once; 0 when not known.
+    /// Number of requests it runs concurrently; 0 if unknown.
     pub slots: u32,
-    /// Whether it stands in our failure domain.
+    /// Whether it is in the failure domain of this process.
     pub near: bool,
-    /// Whether it is known to have what the service needs; `false` when nothing is known yet.
+    /// Whether it is known to have loaded the service's artifact.
     pub loaded: bool,
-    /// Whether it is ejected and not yet due for a probe.
+    /// Whether it is ejected and not due for a probe.
     pub ejected: bool,
 }
 
 impl Candidate {
-    /// Whether another request would wait inside it, as far as we know.
+    /// Returns whether another request is expected to be queued in it.
     pub fn is_full(&self) -> bool {
         let load = self.own.saturating_add(self.others);
         self.waiting > 0 || (self.slots > 0 && load >= self.slots)
     }
 }
 
-/// What was chosen.
+/// The chosen candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pick {
     /// Index of the candidate.
     pub index: usize,
-    /// Why, for the time line.
+    /// Reason of the choice, for the timeline.
     pub reason: &'static str,
 }
 
-/// The first choice of the prefix.
+/// The preferred upstream of the prefix.
 pub const AFFINITY: &str = "affinity";
-/// The prefix's first choice has too much to do.
+/// The preferred upstream is full or above the load bound, so another one was chosen.
 pub const BOUNDED: &str = "bounded";
-/// Nothing near has room.
+/// No upstream in this failure domain has room.
 pub const FAR: &str = "far";
-/// Nothing has room: the least loaded.
+/// No upstream has room, so the least loaded was chosen.
 pub const LEAST_LOADED: &str = "least_loaded";
-/// All are ejected.
+/// All upstreams are ejected.
 pub const LAST_RESORT: &str = "last_resort";
 
-/// Chooses among candidates; `None` when there are none.
+/// Chooses among candidates. Returns `None` if there are none.
 ///
-/// Tiers in order: not ejected and known to be loaded, not ejected, ejected. Within a tier: those near with room, in
-/// the prefix's rendezvous order; those far with room; the least loaded of all.
+/// Uses the first nonempty tier: not ejected and known to be loaded, not ejected, all. Within a tier it prefers near candidates
+/// with room in the rendezvous order of the prefix, then far ones with room, then the least loaded.
 pub fn choose(candidates: &[Candidate], prefix: u64) -> Option<Pick> {
-    let sound = |candidate: &Candidate| !candidate.ejected && candidate.loaded;
-    let unknown = |candidate: &Candidate| !candidate.ejected && !candidate.loaded;
+    let is_ready = |candidate: &Candidate| !candidate.ejected && candidate.loaded;
+    let is_unknown = |candidate: &Candidate| !candidate.ejected && !candidate.loaded;
     let tier: Vec<usize> = [
-        indexes(candidates, sound),
-        indexes(candidates, unknown),
+        indexes(candidates, is_ready),
+        indexes(candidates, is_unknown),
         indexes(candidates, |_| true),
     ]
     .into_iter()
     .find(|tier| !tier.is_empty())?;
-    let near = indexes_of(&tier, |index| candidates[index].near);
-    let far = indexes_of(&tier, |index| !candidates[index].near);
-    let pick = with_room(candidates, &near, prefix)
-        .or_else(|| with_room(candidates, &far, prefix).map(|pick| far_pick(pick, &near)))
+    let near = filter_indexes(&tier, |index| candidates[index].near);
+    let far = filter_indexes(&tier, |index| !candidates[index].near);
+    let pick = preferred_with_room(candidates, &near, prefix)
+        .or_else(|| preferred_with_room(candidates, &far, prefix).map(|pick| mark_far(pick, &near)))
         .or_else(|| least_loaded(candidates, &tier, prefix))?;
     if candidates[pick.index].ejected {
         return Some(Pick {
@@ -87,7 +86,7 @@
     Some(pick)
 }
 
-/// Rendezvous weight of an upstream for a prefix: the largest wins.
+/// Returns the rendezvous weight of an upstream for a prefix. The largest wins.
 pub fn weight(prefix: u64, upstream: id::Upstream) -> u64 {
     let mut hasher = SipHasher13::new();
     hasher.write_u64(prefix);
@@ -101,25 +100,25 @@
         .collect()
 }
 
-fn indexes_of(tier: &[usize], keep: impl Fn(usize) -> bool) -> Vec<usize> {
+fn filter_indexes(tier: &[usize], keep: impl Fn(usize) -> bool) -> Vec<usize> {
     tier.iter().copied().filter(|index| keep(*index)).collect()
 }
 
-fn far_pick(pick: Pick, near: &[usize]) -> Pick {
+fn mark_far(pick: Pick, near: &[usize]) -> Pick {
     let reason = if near.is_empty() { pick.reason } else { FAR };
     Pick { reason, ..pick }
 }
 
-/// The largest weight among those that are neither full nor above the bound on own in-flight counts.
-fn with_room(candidates: &[Candidate], group: &[usize], prefix: u64) -> Option<Pick> {
-    let favourite = heaviest(candidates, group.iter().copied(), prefix)?;
+/// Picks the candidate with the largest weight among those that are neither full nor at the load bound.
+fn preferred_with_room(candidates: &[Candidate], group: &[usize], prefix: u64) -> Option<Pick> {
+    let preferred = max_weight(candidates, group.iter().copied(), prefix)?;
     let bound = bound(candidates, group);
-    let roomy = group.iter().copied().filter(|index| {
+    let available = group.iter().copied().filter(|index| {
         let candidate = &candidates[*index];
         !candidate.is_full() && candidate.own < bound
     });
-    let index = heaviest(candidates, roomy, prefix)?;
-    let reason = if index == favourite {
+    let index = max_weight(candidates, available, prefix)?;
+    let reason = if index == preferred {
         AFFINITY
     } else {
         BOUNDED
@@ -127,18 +126,19 @@
     Some(Pick { index, reason })
 }
 
-/// Bound on the own in-flight count of one upstream, this request included: [`BOUND_PERCENT`] of the mean, rounded up.
+/// Returns the bound on this process's in-flight requests at one upstream, including the new one: [`LOAD_BOUND_PERCENT`] of the
+/// mean, rounded up.
 fn bound(candidates: &[Candidate], group: &[usize]) -> u32 {
     let own: u64 = group
         .iter()
         .map(|index| u64::from(candidates[*index].own))
         .sum();
     let members = group.len().max(1) as u64;
-    let scaled = (own + 1) * u64::from(BOUND_PERCENT);
+    let scaled = (own + 1) * u64::from(LOAD_BOUND_PERCENT);
     u32::try_from(scaled.div_ceil(members * 100)).unwrap_or(u32::MAX)
 }
 
-/// Own counts first, since they are exact; reports second, since they lag; the prefix's order last.
+/// Picks the least loaded candidate: by own counts, which are exact, then by reports, which lag, then by rendezvous order.
 fn least_loaded(candidates: &[Candidate], group: &[usize], prefix: u64) -> Option<Pick> {
     let index = group.iter().copied().min_by_key(|index| {
         let candidate = &candidates[*index];
@@ -154,7 +154,7 @@
     })
 }
 
-fn heaviest(
+fn max_weight(
     candidates: &[Candidate],
     group: impl Iterator<Item = usize>,
     prefix: u64,
--- a/crates/tinbank-routing/src/prefix.rs
+++ b/crates/tinbank-routing/src/prefix.rs
@@ -1,7 +1,7 @@
-//! Hash of a prompt's prefix, so that prompts which share it meet the same engine's cache.
+//! Hash of a prompt's prefix, so that prompts which share it are sent to the engine that has it in its cache.
 //!
-//! The prefix is the first message: for chats with instructions that is the system prompt, which many requests share,
-//! and for others it is what stays the same over the turns of one chat. See `docs/design/routing.md`.
+//! The prefix is the first message: the system prompt, which many requests share, or else the first turn, which stays the same
+//! over one chat. See `docs/design/routing.md`.
 
 use std::hash::Hasher as _;
 
@@ -9,7 +9,7 @@
 use serde_json::value::RawValue;
 use siphasher::sip::SipHasher13;
 
-/// How much of the first message counts, in bytes.
+/// Number of bytes of the first message that are hashed.
 pub const MAX_BYTES: usize = 1_024;
 
 #[derive(Deserialize)]
@@ -24,7 +24,7 @@
     content: &'a RawValue,
 }
 
-/// Hash of the prefix of a chat completion's JSON body for a service. A body that is none is hashed by its first bytes.
+/// Returns the hash of a service and the prefix of a chat completion's JSON body. Other bodies are hashed by their first bytes.
 pub fn of_body(service: &str, body: &[u8]) -> u64 {
     let chat = serde_json::from_slice::<Chat<'_>>(body).ok();
     let first = chat.as_ref().and_then(|chat| chat.messages.first());
@@ -34,7 +34,7 @@
     }
 }
 
-/// Hash of a service and the first bytes of a text.
+/// Returns the hash of a service and the first [`MAX_BYTES`] of a text.
 pub fn of(service: &str, text: &[u8]) -> u64 {
     let mut hasher = SipHasher13::new();
     hasher.write(service.as_bytes());
--- a/crates/tinbank-routing/src/shed.rs
+++ b/crates/tinbank-routing/src/shed.rs
@@ -1,52 +1,51 @@
-//! Sheds online load early when the upstreams of a service are overloaded. Pure.
+//! Load shedding: rejects online requests early when the upstreams of a service are overloaded.
 //!
-//! The customer over its share goes first. Batch is not asked here: it has given way long before. See
-//! `docs/design/limits.md`.
+//! Customers over their share are rejected first. Batch requests do not pass here; admission control has withdrawn them at much
+//! lower load. See `docs/design/limits.md`.
 
 use std::collections::BTreeMap;
 
 use tinbank_base::id;
 
-/// Load in per cent of the capacity above which customers are held to their shares.
-pub const SHARED_PERCENT: u64 = 150;
-/// Load in per cent of the capacity above which nobody is let in: what waits would be too late.
+/// Load in per cent of the capacity from which customers over their share are rejected.
+pub const FAIR_SHARE_PERCENT: u64 = 150;
+/// Load in per cent of the capacity from which all requests are rejected, since queued ones would miss their deadline.
 pub const FULL_PERCENT: u64 = 300;
 
-/// How busy the upstreams of a service are, as far as this process knows.
+/// Load of the upstreams of a service, as known to this process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Pressure {
-    /// Requests that they run at once; 0 when not known.
+    /// Number of requests that they run concurrently; 0 if unknown.
     pub capacity: u64,
-    /// Requests that run or wait there.
+    /// Number of requests running or queued there.
     pub load: u64,
 }
 
-/// The customer's part in what this process has in flight.
+/// A customer's part of the in-flight requests of this process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CustomerLoad {
-    /// The customer's requests.
+    /// Number of the customer's requests.
     pub own: u64,
-    /// The customer's weight.
     pub weight: u64,
-    /// Requests of all customers.
+    /// Number of requests of all customers.
     pub total: u64,
-    /// Sum of the weights of the customers that have any, this one included.
+    /// Sum of the weights of the customers with requests in flight, including this one.
     pub weights: u64,
 }
 
-/// Whether another request is let in.
-pub fn admits(pressure: Pressure, part: CustomerLoad) -> bool {
+/// Returns whether another request of the customer is admitted.
+pub fn admits(pressure: Pressure, customer_load: CustomerLoad) -> bool {
     let load = pressure.load.saturating_mul(100);
     let reaches = |percent: u64| load >= pressure.capacity.saturating_mul(percent);
-    if pressure.capacity == 0 || !reaches(SHARED_PERCENT) {
+    if pressure.capacity == 0 || !reaches(FAIR_SHARE_PERCENT) {
         return true;
     }
     let over_share =
-        (part.own + 1).saturating_mul(part.weights) > (part.total + 1).saturating_mul(part.weight);
+        (customer_load.own + 1).saturating_mul(customer_load.weights) > (customer_load.total + 1).saturating_mul(customer_load.weight);
     !reaches(FULL_PERCENT) && !over_share
 }
 
-/// Which customers have requests in flight at this process, and their weights.
+/// In-flight requests of this process by customer, with the customers' weights.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ActiveRequests {
     customers: BTreeMap<id::Customer, Weighted>,
@@ -61,37 +60,37 @@
 }
 
 impl ActiveRequests {
-    /// The part of a customer, as if it had one at least.
+    /// Returns the load of a customer. Its weight is counted even if it has no request in flight.
     pub fn customer_load(&self, customer: &str, weight: u32) -> CustomerLoad {
         let weight = u64::from(weight.max(1));
-        let known = self.customers.get(customer).copied().unwrap_or_default();
+        let entry = self.customers.get(customer).copied().unwrap_or_default();
         CustomerLoad {
-            own: known.running,
+            own: entry.running,
             weight,
             total: self.total,
-            weights: self.weights - known.weight + weight,
+            weights: self.weights - entry.weight + weight,
         }
     }
 
-    /// A request of a customer begins.
+    /// Counts a request of a customer that begins.
     pub fn begin(&mut self, customer: &str, weight: u32) {
         let weight = u64::from(weight.max(1));
-        let known = self.customers.entry(customer.to_owned()).or_default();
-        self.weights = self.weights - known.weight + weight;
-        known.weight = weight;
-        known.running += 1;
+        let entry = self.customers.entry(customer.to_owned()).or_default();
+        self.weights = self.weights - entry.weight + weight;
+        entry.weight = weight;
+        entry.running += 1;
         self.total += 1;
     }
 
-    /// A request of a customer has ended.
+    /// Counts a request of a customer that has ended.
     pub fn end(&mut self, customer: &str) {
-        let Some(known) = self.customers.get_mut(customer) else {
+        let Some(entry) = self.customers.get_mut(customer) else {
             return;
         };
-        known.running -= 1;
+        entry.running -= 1;
         self.total -= 1;
-        if known.running == 0 {
-            self.weights -= known.weight;
+        if entry.running == 0 {
+            self.weights -= entry.weight;
             self.customers.remove(customer);
         }
     }
--- a/crates/tinbank-routing/src/table/entry.rs
+++ b/crates/tinbank-routing/src/table/entry.rs
@@ -13,7 +13,7 @@
 use tinbank_configuration::template::Traffic;
 
 use crate::{
-    health::{Change, Health, Sign},
+    health::{Change, Health, Signal},
     leaving::Until,
     pick::Candidate,
 };
@@ -116,12 +116,12 @@
         reported.map(|reported| reported.report.clone())
     }
 
-    pub(super) fn note(&self, sign: Sign, now: Instant) -> Change {
+    pub(super) fn record(&self, signal: Signal, now: Instant) -> Change {
         let change = self
             .health
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .note(sign, now);
+            .record(signal, now);
         match change {
             Change::None => {}
             Change::Ejected(until) => self
--- a/crates/tinbank-routing/src/table/mod.rs
+++ b/crates/tinbank-routing/src/table/mod.rs
@@ -32,7 +32,7 @@
 };
 use crate::{
     choice::{RouteRequest, Choice, Router},
-    health::Sign,
+    health::Signal,
     leaving::Tracker,
     pick::{self, Candidate},
     shed::Pressure,
@@ -110,7 +110,7 @@
     /// Takes in that an upstream can't be reached for its report, so that no caller has to find out.
     pub fn record_unreachable(&self, upstream: id::Upstream, now: Instant) {
         if let Some(entry) = self.inner.entries.load().by_upstream.get(&upstream) {
-            entry.live.note(Sign::Down, now);
+            entry.live.record(Signal::Unreachable, now);
         }
     }
 
--- a/crates/tinbank-routing/src/table/ticket.rs
+++ b/crates/tinbank-routing/src/table/ticket.rs
@@ -6,7 +6,7 @@
 use tinbank_configuration::template::Traffic;
 
 use super::{Inner, entry::Entry};
-use crate::{choice::Ticket, health::Sign};
+use crate::{choice::Ticket, health::Signal};
 
 /// Counts as in flight until it is dropped.
 pub(super) struct Held {
@@ -43,14 +43,14 @@
 
 impl Ticket for Held {
     fn record_result(&self, result: Result<(), &upstream::Error>, now: Instant) {
-        let sign = match result {
-            Ok(()) => Sign::Good,
-            Err(error) => Sign::of(&error.kind),
+        let signal = match result {
+            Ok(()) => Signal::Healthy,
+            Err(error) => Signal::of(&error.kind),
         };
         if result.is_err_and(|error| error.kind == Kind::Leaving) {
-            self.inner.sign(self.entry.listed.upstream, now);
+            self.inner.record_leaving(self.entry.listed.upstream, now);
         }
-        self.entry.live.note(sign, now);
+        self.entry.live.record(signal, now);
     }
 }
 
--- a/crates/tinbank-routing/tests/health.rs
+++ b/crates/tinbank-routing/tests/health.rs
@@ -1,9 +1,9 @@
-//! Ejection and probing return.
+//! Ejection of failing upstreams, and their return after a probe.
 
 use std::time::{Duration, Instant};
 
 use tinbank_base::platform::upstream::Kind;
-use tinbank_routing::health::{Change, FAILURES, FIRST, Health, LONGEST, Sign};
+use tinbank_routing::health::{Change, EJECTION_THRESHOLD, FIRST_EJECTION, Health, MAX_EJECTION, Signal};
 use yare::parameterized;
 
 fn cut() -> Kind {
@@ -11,89 +11,89 @@
 }
 
 #[parameterized(
-    no_connection = { Kind::Connect(String::new()), Sign::Down },
-    cut_off = { cut(), Sign::Bad },
-    crossed = { Kind::Crossed(String::new()), Sign::Bad },
-    status_500 = { Kind::Failed { status: 500, message: String::new() }, Sign::Bad },
-    leaving = { Kind::Leaving, Sign::Neutral },
-    full = { Kind::Full, Sign::Neutral },
-    timeout = { Kind::Timeout, Sign::Neutral },
-    rejected = { Kind::Rejected { status: 400, message: String::new() }, Sign::Good },
+    no_connection = { Kind::Connect(String::new()), Signal::Unreachable },
+    cut_off = { cut(), Signal::Failing },
+    crossed = { Kind::Crossed(String::new()), Signal::Failing },
+    status_500 = { Kind::Failed { status: 500, message: String::new() }, Signal::Failing },
+    leaving = { Kind::Leaving, Signal::Neutral },
+    full = { Kind::Full, Signal::Neutral },
+    timeout = { Kind::Timeout, Signal::Neutral },
+    rejected = { Kind::Rejected { status: 400, message: String::new() }, Signal::Healthy },
 )]
-fn results_say(kind: Kind, sign: Sign) {
-    assert_eq!(Sign::of(&kind), sign);
+fn signal_of_failed_call(kind: Kind, signal: Signal) {
+    assert_eq!(Signal::of(&kind), signal);
 }
 
 #[test]
-fn failures_in_a_row_eject_and_a_success_between_them_does_not() {
+fn only_consecutive_failures_eject() {
     let now = Instant::now();
     let mut health = Health::default();
 
     for _ in 0..10 {
-        for _ in 1..FAILURES {
-            assert_eq!(health.note(Sign::Bad, now), Change::None);
+        for _ in 1..EJECTION_THRESHOLD {
+            assert_eq!(health.record(Signal::Failing, now), Change::None);
         }
-        assert_eq!(health.note(Sign::Good, now), Change::None);
+        assert_eq!(health.record(Signal::Healthy, now), Change::None);
     }
-    for _ in 1..FAILURES {
-        health.note(Sign::Bad, now);
+    for _ in 1..EJECTION_THRESHOLD {
+        health.record(Signal::Failing, now);
     }
 
-    assert_eq!(health.note(Sign::Bad, now), Change::Ejected(now + FIRST));
+    assert_eq!(health.record(Signal::Failing, now), Change::Ejected(now + FIRST_EJECTION));
 }
 
 #[test]
-fn one_that_can_t_be_reached_is_ejected_at_once() {
+fn unreachable_upstream_is_ejected_at_once() {
     let now = Instant::now();
     let mut health = Health::default();
 
-    assert_eq!(health.note(Sign::Down, now), Change::Ejected(now + FIRST));
+    assert_eq!(health.record(Signal::Unreachable, now), Change::Ejected(now + FIRST_EJECTION));
 }
 
 #[test]
-fn late_failures_of_the_same_fault_do_not_lengthen_the_ejection() {
+fn failures_during_ejection_do_not_extend_it() {
     let now = Instant::now();
     let mut health = Health::default();
-    health.note(Sign::Down, now);
+    health.record(Signal::Unreachable, now);
 
     for _ in 0..20 {
-        assert_eq!(health.note(Sign::Bad, now), Change::None);
+        assert_eq!(health.record(Signal::Failing, now), Change::None);
     }
 
-    assert_eq!(health.ejected_until(), Some(now + FIRST));
+    assert_eq!(health.ejected_until(), Some(now + FIRST_EJECTION));
 }
 
 #[test]
-fn a_failed_probe_doubles_the_ejection_up_to_the_longest() {
+fn failed_probe_doubles_ejection_up_to_maximum() {
     let mut now = Instant::now();
     let mut health = Health::default();
-    health.note(Sign::Down, now);
-    let mut times = vec![FIRST];
+    health.record(Signal::Unreachable, now);
+    let mut times = vec![FIRST_EJECTION];
 
     for _ in 0..12 {
         now = health.ejected_until().expect("it is ejected");
-        let Change::Ejected(until) = health.note(Sign::Bad, now) else {
+        let Change::Ejected(until) = health.record(Signal::Failing, now) else {
             panic!("a failed probe ejects again");
         };
         times.push(until - now);
     }
 
-    assert_eq!(times[..3], [FIRST, FIRST * 2, FIRST * 4]);
-    assert_eq!(times.last(), Some(&LONGEST));
+    assert_eq!(times[..3], [FIRST_EJECTION, FIRST_EJECTION * 2, FIRST_EJECTION * 4]);
+    assert_eq!(times.last(), Some(&MAX_EJECTION));
 }
 
 #[test]
-fn a_good_probe_brings_it_back_with_a_clean_record() {
+fn successful_probe_restores_upstream_and_resets_backoff() {
     let now = Instant::now();
     let mut health = Health::default();
-    health.note(Sign::Down, now);
+    health.record(Signal::Unreachable, now);
 
-    let change = health.note(Sign::Good, now + FIRST);
+    let change = health.record(Signal::Healthy, now + FIRST_EJECTION);
 
     assert_eq!(change, Change::Returned);
-    let again = health.note(Sign::Down, now + Duration::from_secs(60));
+    let again = health.record(Signal::Unreachable, now + Duration::from_secs(60));
     assert_eq!(
         again,
-        Change::Ejected(now + Duration::from_secs(60) + FIRST)
+        Change::Ejected(now + Duration::from_secs(60) + FIRST_EJECTION)
     );
 }
--- a/crates/tinbank-routing/tests/pick.rs
+++ b/crates/tinbank-routing/tests/pick.rs
@@ -1,9 +1,9 @@
-//! The choice of an upstream, against a naive version and by its properties.
+//! Choice of an upstream, compared with a reference implementation and by properties.
 
 use proptest::prelude::*;
 use tinbank_base::id;
 use tinbank_routing::pick::{
-    self, AFFINITY, BOUND_PERCENT, Candidate, FAR, LAST_RESORT, LEAST_LOADED,
+    self, AFFINITY, LOAD_BOUND_PERCENT, Candidate, FAR, LAST_RESORT, LEAST_LOADED,
 };
 use tinbank_test_support::property;
 
@@ -24,8 +24,8 @@
     (1..=size).map(idle).collect()
 }
 
-/// The rule of `docs/design/routing.md`, written down without regard to cost.
-fn naive(candidates: &[Candidate], prefix: u64) -> Option<id::Upstream> {
+/// Straightforward implementation of the rule in `docs/design/routing.md`.
+fn reference_choice(candidates: &[Candidate], prefix: u64) -> Option<id::Upstream> {
     let usable: Vec<Candidate> = candidates
         .iter()
         .copied()
@@ -48,14 +48,14 @@
             continue;
         }
         let total: u64 = group.iter().map(|c| u64::from(c.own)).sum::<u64>() + 1;
-        let roomy = |c: &&Candidate| {
+        let has_room = |c: &&Candidate| {
             let load = u64::from(c.own) + u64::from(c.others);
             let full = c.waiting > 0 || (c.slots > 0 && load >= u64::from(c.slots));
-            // With this request it may have no more than the bound, rounded up.
+            // Including this request, at most the bound, rounded up.
             let with_this = u64::from(c.own) * 100 * group.len() as u64;
-            c.near == near && !full && with_this < total * u64::from(BOUND_PERCENT)
+            c.near == near && !full && with_this < total * u64::from(LOAD_BOUND_PERCENT)
         };
-        if let Some(first) = ranked.iter().find(roomy) {
+        if let Some(first) = ranked.iter().find(has_room) {
             return Some(first.upstream);
         }
     }
@@ -89,14 +89,14 @@
     #![proptest_config(property::config(2_000))]
 
     #[test]
-    fn the_choice_is_that_of_the_naive_version(fleet in candidates(), prefix: u64) {
+    fn choice_matches_reference_implementation(fleet in candidates(), prefix: u64) {
         let chosen = pick::choose(&fleet, prefix).map(|pick| fleet[pick.index].upstream);
 
-        prop_assert_eq!(chosen, naive(&fleet, prefix));
+        prop_assert_eq!(chosen, reference_choice(&fleet, prefix));
     }
 
     #[test]
-    fn an_ejected_upstream_is_chosen_only_if_all_are(fleet in candidates(), prefix: u64) {
+    fn ejected_upstream_is_chosen_only_if_all_are_ejected(fleet in candidates(), prefix: u64) {
         if let Some(pick) = pick::choose(&fleet, prefix) && fleet[pick.index].ejected {
             prop_assert!(fleet.iter().all(|candidate| candidate.ejected));
             prop_assert_eq!(pick.reason, LAST_RESORT);
@@ -104,7 +104,7 @@
     }
 
     #[test]
-    fn the_loss_of_another_upstream_moves_no_prefix(size in 2_u32..20, lost in 1_u32..20, prefix: u64) {
+    fn loss_of_another_upstream_keeps_prefix_assignment(size in 2_u32..20, lost in 1_u32..20, prefix: u64) {
         let whole = fleet(size);
         let rest: Vec<Candidate> = whole.iter().copied().filter(|c| c.upstream != lost).collect();
         let before = whole[pick::choose(&whole, prefix).unwrap().index].upstream;
@@ -114,7 +114,7 @@
     }
 
     #[test]
-    fn own_counts_stay_within_the_bound(size in 1_u32..12, prefix: u64, requests in 1_u32..60) {
+    fn own_counts_stay_within_load_bound(size in 1_u32..12, prefix: u64, requests in 1_u32..60) {
         let mut fleet = fleet(size);
         for candidate in &mut fleet {
             candidate.slots = 0;
@@ -125,13 +125,13 @@
         }
 
         let most = fleet.iter().map(|candidate| candidate.own).max().unwrap();
-        let bound = (requests * BOUND_PERCENT).div_ceil(size * 100);
+        let bound = (requests * LOAD_BOUND_PERCENT).div_ceil(size * 100);
         prop_assert!(most <= bound, "{most} of {requests} on {size}");
     }
 }
 
 #[test]
-fn a_prefix_meets_the_same_upstream() {
+fn same_prefix_gets_same_upstream() {
     let fleet = fleet(12);
 
     let first = pick::choose(&fleet, 42).unwrap();
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn another_failure_domain_is_chosen_only_when_ours_is_full() {
+fn other_failure_domain_is_chosen_only_when_own_is_full() {
     let mut fleet = fleet(4);
     fleet[2].near = false;
     fleet[3].near = false;
@@ -158,9 +158,9 @@
 }
 
 #[test]
-fn a_stale_report_of_an_idle_engine_does_not_outweigh_own_counts() {
+fn own_counts_outweigh_stale_reports() {
     let mut fleet = fleet(2);
-    // Its report is old and says that it is idle, but all that we have is there.
+    // The outdated report shows it idle, though all requests of this process are there.
     fleet[0].own = 9;
     fleet[0].slots = 8;
     fleet[1].others = 8;
--- a/crates/tinbank-routing/tests/shed.rs
+++ b/crates/tinbank-routing/tests/shed.rs
@@ -1,4 +1,4 @@
-//! Shedding under overload.
+//! Load shedding under overload.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
     }
 }
 
-fn part(own: u64, total: u64) -> CustomerLoad {
+fn customer_load(own: u64, total: u64) -> CustomerLoad {
     CustomerLoad {
         own,
         weight: 1,
@@ -24,71 +24,71 @@
 }
 
 #[parameterized(
-    idle = { 10, part(9, 10), true },
-    busy = { 149, part(100, 100), true },
-    overloaded_and_over_its_share = { 150, part(9, 10), false },
-    overloaded_and_under_its_share = { 150, part(1, 10), true },
-    full = { 300, part(0, 10), false },
+    idle = { 10, customer_load(9, 10), true },
+    busy = { 149, customer_load(100, 100), true },
+    overloaded_and_over_its_share = { 150, customer_load(9, 10), false },
+    overloaded_and_under_its_share = { 150, customer_load(1, 10), true },
+    full = { 300, customer_load(0, 10), false },
 )]
-fn sheds(load: u64, part: CustomerLoad, admitted: bool) {
-    assert_eq!(shed::admits(pressure(load), part), admitted);
+fn admission_by_load_and_share(load: u64, customer_load: CustomerLoad, admitted: bool) {
+    assert_eq!(shed::admits(pressure(load), customer_load), admitted);
 }
 
 #[test]
-fn a_single_customer_is_not_over_its_share() {
-    let part = CustomerLoad {
+fn single_customer_is_never_over_its_share() {
+    let customer_load = CustomerLoad {
         own: 50,
         weight: 3,
         total: 50,
         weights: 3,
     };
 
-    assert!(shed::admits(pressure(200), part));
+    assert!(shed::admits(pressure(200), customer_load));
 }
 
 #[test]
-fn unknown_capacity_sheds_nobody() {
+fn unknown_capacity_admits_all() {
     let unknown = Pressure {
         capacity: 0,
         load: 1_000,
     };
 
-    assert!(shed::admits(unknown, part(10, 10)));
+    assert!(shed::admits(unknown, customer_load(10, 10)));
 }
 
 proptest! {
     #![proptest_config(property::config(500))]
 
     #[test]
-    fn active_customers_are_counted_as_a_naive_list_counts_them(
+    fn active_requests_match_reference_counts(
         steps in prop::collection::vec((0_u32..4, 0_u32..5, any::<bool>()), 0..80),
     ) {
         let mut active = ActiveRequests::default();
-        let mut naive: BTreeMap<String, (u64, u64)> = BTreeMap::new();
+        let mut reference: BTreeMap<String, (u64, u64)> = BTreeMap::new();
         for (customer, weight, begins) in steps {
             let name = format!("customer-{customer}");
             let weight_used = u64::from(weight.max(1));
             if begins {
                 active.begin(&name, weight);
-                let entry = naive.entry(name.clone()).or_default();
+                let entry = reference.entry(name.clone()).or_default();
                 *entry = (entry.0 + 1, weight_used);
             } else {
                 active.end(&name);
-                if let Some(entry) = naive.get_mut(&name) {
+                if let Some(entry) = reference.get_mut(&name) {
                     entry.0 -= 1;
                 }
-                naive.retain(|_, (running, _)| *running > 0);
+                reference.retain(|_, (running, _)| *running > 0);
             }
-            let part = active.customer_load(&name, weight);
-            let others = naive.iter().filter(|(other, _)| **other != name);
+            let customer_load = active.customer_load(&name, weight);
+            let others = reference.iter().filter(|(other, _)| **other != name);
             let weights: u64 = others.map(|(_, (_, weight))| weight).sum();
             let expected = CustomerLoad {
-                own: naive.get(&name).map_or(0, |(running, _)| *running),
+                own: reference.get(&name).map_or(0, |(running, _)| *running),
                 weight: weight_used,
-                total: naive.values().map(|(running, _)| running).sum(),
+                total: reference.values().map(|(running, _)| running).sum(),
                 weights: weights + weight_used,
             };
-            prop_assert_eq!(part, expected);
+            prop_assert_eq!(customer_load, expected);
         }
     }
 }
--- a/crates/tinbank-routing/tests/table.rs
+++ b/crates/tinbank-routing/tests/table.rs
@@ -17,7 +17,7 @@
     },
 };
 use tinbank_configuration::{service::Service, template::Traffic};
-use tinbank_routing::{RouteRequest, Choice, Router as _, Table, health::FIRST, leaving::HOLD};
+use tinbank_routing::{RouteRequest, Choice, Router as _, Table, health::FIRST_EJECTION, leaving::HOLD};
 use yare::parameterized;
 
 const POOL: &str = "notes";
@@ -292,7 +292,7 @@
     let other = 3 - ejected;
 
     let during = online(&table, now).expect("the other one is free");
-    let later = now + FIRST;
+    let later = now + FIRST_EJECTION;
     let probe = choose(&table, Traffic::Online, &[other], later).expect("it may be probed");
     let beside = choose(&table, Traffic::Online, &[], later).expect("the other one is free");
 
