--- a/crates/tinbank-routing/src/leaving.rs
+++ b/crates/tinbank-routing/src/leaving.rs
@@ -1,8 +1,7 @@
-//! Which upstreams are leaving, merged from the lagging host list, the upstreams' own answers and peers' words.
+//! Tracks which upstreams are leaving, from the host list, the upstreams' own answers and updates of peers.
 //!
-//! The list lags, so a sign from the upstream or a peer goes before it: an upstream that was told to leave comes back
-//! only when a list shows it live *again*, that is after one which did not, or when the sign is older than
-//! [`HOLD`]. See `docs/design/routing.md`.
+//! The host list lags, so a notice from the upstream or a peer overrides it. The notice ends when a list shows the upstream live
+//! after one that did not, or after [`NOTICE_TTL`]. See `docs/design/routing.md`.
 
 use std::{
     collections::BTreeMap,
@@ -16,50 +15,51 @@
     platform::hosts::{List, State},
 };
 
-/// How long a sign holds against a list that goes on showing the upstream as live.
-pub const HOLD: Duration = Duration::from_secs(60);
+/// Time for which a notice overrides a list that shows the upstream as live.
+pub const NOTICE_TTL: Duration = Duration::from_secs(60);
 
-/// How long a sign is passed on to peers.
-pub const GOSSIP: Duration = Duration::from_secs(20);
+/// Time for which a notice is sent to peers.
+pub const GOSSIP_PERIOD: Duration = Duration::from_secs(20);
 
-/// A sign that an upstream is leaving.
+/// A notice that an upstream is leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Sign {
+struct Notice {
+    /// Version of the latest list that showed it live.
     list: u64,
-    held_until: Instant,
-    passed_on_until: Instant,
+    expires_at: Instant,
+    gossip_until: Instant,
 }
 
-/// What the accepted list says of an upstream.
+/// State of an upstream in the current list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Listed {
+struct ListState {
     live: bool,
-    /// Version of the list in which we saw it come back; 0 when it was live from the first list on.
+    /// Version of the list in which it returned; 0 if it has been live since the first list.
     live_since: u64,
 }
 
-/// How long an upstream must get no new work.
+/// How long an upstream gets no new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Until {
-    /// It may get work.
-    Never,
-    /// A sign holds until then, if no list says otherwise.
-    Time(Instant),
-    /// Until a list shows it live.
-    Listed,
+pub enum Exclusion {
+    /// It may get requests.
+    None,
+    /// Until the notice expires or a list overrides it.
+    Until(Instant),
+    /// Until a list shows it as live.
+    UntilListed,
 }
 
-/// Follows which upstreams are leaving.
+/// Tracks which upstreams are leaving.
 #[derive(Clone, Debug, Default)]
 pub struct Tracker {
     version: Option<u64>,
-    listed: BTreeMap<id::Upstream, Listed>,
-    signs: BTreeMap<id::Upstream, Sign>,
+    listed: BTreeMap<id::Upstream, ListState>,
+    notices: BTreeMap<id::Upstream, Notice>,
 }
 
 impl Tracker {
-    /// Takes in a list. Returns `false`, and changes nothing, when it is older than the one in force.
-    pub fn list(&mut self, list: &List, now: Instant) -> bool {
+    /// Applies a host list. Ignores it and returns `false` if it is older than the current one.
+    pub fn apply_list(&mut self, list: &List, now: Instant) -> bool {
         if self.version.is_some_and(|version| list.version < version) {
             return false;
         }
@@ -75,7 +75,7 @@
                 Some(before) => before.live_since,
                 None => 0,
             };
-            listed.insert(upstream.upstream, Listed { live, live_since });
+            listed.insert(upstream.upstream, ListState { live, live_since });
         }
         let seen_live_in = self.version.unwrap_or(0);
         let newer = list.version > seen_live_in;
@@ -88,92 +88,92 @@
             .collect();
         self.version = Some(list.version);
         self.listed = listed;
-        self.forget(now);
-        // In a large fleet peers read the list less often, so what it says first is passed on as well. What operators
-        // drain does not change its version: each process reads it from the configuration, and its return too.
+        self.remove_expired(now);
+        // Peers of a large fleet read the list less often, so a change in it is sent to them as well. Drains by operators don't
+        // change the version: each process reads them from the configuration.
         if newer {
             for upstream in left {
-                self.add(upstream, seen_live_in, now);
+                self.add_notice(upstream, seen_live_in, now);
             }
         }
         true
     }
 
-    /// Takes in the upstream's own word. Returns whether it is news.
-    pub fn sign(&mut self, upstream: id::Upstream, now: Instant) -> bool {
+    /// Records that the upstream itself reports to be leaving. Returns whether this is new.
+    pub fn record_leaving(&mut self, upstream: id::Upstream, now: Instant) -> bool {
         let list = self.version.unwrap_or(0);
-        self.add(upstream, list, now)
+        self.add_notice(upstream, list, now)
     }
 
-    /// Takes in a peer's word. Returns whether it is news.
+    /// Applies a peer's update. Returns whether it is new.
     ///
-    /// A word from before the upstream's last return is stale and ignored.
-    pub fn hear(&mut self, word: Leaving, now: Instant) -> bool {
+    /// An update from before the upstream's last return is ignored.
+    pub fn apply_update(&mut self, update: Leaving, now: Instant) -> bool {
         let stale = self
             .listed
-            .get(&word.upstream)
-            .is_some_and(|listed| word.list < listed.live_since);
+            .get(&update.upstream)
+            .is_some_and(|listed| update.list < listed.live_since);
         if stale {
             return false;
         }
-        self.add(word.upstream, word.list, now)
+        self.add_notice(update.upstream, update.list, now)
     }
 
-    /// Whether an upstream must get no new work.
+    /// Returns whether an upstream gets no new requests.
     pub fn is_leaving(&self, upstream: id::Upstream, now: Instant) -> bool {
-        match self.until(upstream) {
-            Until::Never => false,
-            Until::Time(until) => now < until,
-            Until::Listed => true,
+        match self.exclusion(upstream) {
+            Exclusion::None => false,
+            Exclusion::Until(until) => now < until,
+            Exclusion::UntilListed => true,
         }
     }
 
-    /// How long an upstream must get no new work, as far as is known now.
-    pub fn until(&self, upstream: id::Upstream) -> Until {
+    /// Returns how long an upstream gets no new requests.
+    pub fn exclusion(&self, upstream: id::Upstream) -> Exclusion {
         if self.listed.get(&upstream).is_none_or(|listed| !listed.live) {
-            return Until::Listed;
+            return Exclusion::UntilListed;
         }
-        let sign = self.signs.get(&upstream);
-        sign.map_or(Until::Never, |sign| Until::Time(sign.held_until))
+        let notice = self.notices.get(&upstream);
+        notice.map_or(Exclusion::None, |notice| Exclusion::Until(notice.expires_at))
     }
 
-    /// The signs to pass on to peers, by number of the upstream.
-    pub fn news(&self, now: Instant) -> SmallVec<[Leaving; 4]> {
-        self.signs
+    /// Returns the updates to send to peers, ordered by upstream.
+    pub fn updates(&self, now: Instant) -> SmallVec<[Leaving; 4]> {
+        self.notices
             .iter()
-            .filter(|(_, sign)| now < sign.passed_on_until)
-            .map(|(upstream, sign)| Leaving {
+            .filter(|(_, notice)| now < notice.gossip_until)
+            .map(|(upstream, notice)| Leaving {
                 upstream: *upstream,
-                list: sign.list,
+                list: notice.list,
             })
             .collect()
     }
 
-    fn add(&mut self, upstream: id::Upstream, list: u64, now: Instant) -> bool {
-        let known = self.signs.get(&upstream).copied();
+    fn add_notice(&mut self, upstream: id::Upstream, list: u64, now: Instant) -> bool {
+        let known = self.notices.get(&upstream).copied();
         if let Some(known) = known
-            && now < known.held_until
+            && now < known.expires_at
             && list <= known.list
         {
             return false;
         }
-        let fresh = Sign {
+        let fresh = Notice {
             list,
-            held_until: now + HOLD,
-            passed_on_until: now + GOSSIP,
+            expires_at: now + NOTICE_TTL,
+            gossip_until: now + GOSSIP_PERIOD,
         };
-        self.signs.insert(upstream, fresh);
-        known.is_none_or(|known| now >= known.held_until)
+        self.notices.insert(upstream, fresh);
+        known.is_none_or(|known| now >= known.expires_at)
     }
 
-    /// Drops signs that a later list has overtaken or that are too old.
-    fn forget(&mut self, now: Instant) {
+    /// Removes expired notices and those that a later list overrides.
+    fn remove_expired(&mut self, now: Instant) {
         let listed = &self.listed;
-        self.signs.retain(|upstream, sign| {
+        self.notices.retain(|upstream, notice| {
             let returned = listed
                 .get(upstream)
-                .is_some_and(|listed| listed.live && listed.live_since > sign.list);
-            !returned && now < sign.held_until
+                .is_some_and(|listed| listed.live && listed.live_since > notice.list);
+            !returned && now < notice.expires_at
         });
     }
 }
--- a/crates/tinbank-routing/src/retry.rs
+++ b/crates/tinbank-routing/src/retry.rs
@@ -1,7 +1,7 @@
-//! Decides whether a request that failed at an upstream is sent to another one. Pure.
+//! Decides whether a request that failed at an upstream is retried at another one.
 //!
-//! Only what provably did not run, or may run more than once, is sent again; within the deadline, and under a budget
-//! that keeps a failing upstream from multiplying the load. See `docs/design/routing.md`.
+//! Only requests that provably did not run or may run more than once are retried, before their deadline and within a budget
+//! that keeps failing upstreams from multiplying the load. See `docs/design/routing.md`.
 
 use std::time::{Duration, Instant, SystemTime};
 
@@ -10,25 +10,24 @@
     platform::upstream::{Error, Kind},
 };
 
-/// Most times that an online request is sent.
+/// Maximum number of attempts of an online request.
 pub const MAX_ATTEMPTS: u16 = 4;
 
-/// Sends again for each request by the budget, in thousandths.
+/// Retries that the budget gains with each request, in thousandths.
 pub const RATIO_MILLIS: u64 = 200;
-/// Sends again that are allowed beyond the ratio after a quiet time, in thousandths.
+/// Largest number of retries that the budget accumulates, in thousandths.
 pub const RESERVE_MILLIS: u64 = 10_000;
 
-/// When to ask again if no upstream could take the request.
+/// Time after which the caller may retry if no upstream could take the request.
 pub const RETRY_AFTER: Duration = Duration::from_secs(1);
-/// When to ask again if the upstreams are full, or the budget of sending again is used up: they need time to recover.
+/// Time after which the caller may retry if the upstreams are full or the retry budget is exhausted.
 pub const OVERLOAD_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 const ONE_MILLIS: u64 = 1_000;
 
-/// Tokens for sending again: each request puts in a fraction of one, each further attempt takes a whole one.
+/// Retry budget: each request deposits a fraction of a token, each retry withdraws a whole one.
 ///
-/// So however many upstreams fail, no more than `1 + RATIO_MILLIS / 1000` times the callers' load reaches them, but
-/// for the reserve.
+/// Apart from the reserve, upstreams get at most `1 + RATIO_MILLIS / 1000` times the callers' load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budget {
     millis: u64,
@@ -43,12 +42,12 @@
 }
 
 impl Budget {
-    /// A request was sent for the first time.
+    /// Records that a request is sent for the first time.
     pub fn deposit(&mut self) {
         self.millis = (self.millis + RATIO_MILLIS).min(RESERVE_MILLIS);
     }
 
-    /// Takes leave to send again; `false` when there is none.
+    /// Withdraws one retry. Returns `false` if none is left.
     pub fn withdraw(&mut self) -> bool {
         match self.millis.checked_sub(ONE_MILLIS) {
             Some(rest) => {
@@ -60,30 +59,28 @@
     }
 }
 
-/// What the attempts of one request have come to so far.
+/// State of the attempts of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Attempts {
     /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// When the caller stops waiting.
     pub deadline: Instant,
-    /// How many times it was sent.
+    /// Number of attempts so far.
     pub sent: u16,
-    /// The worst that is known: once an attempt may have run, the request as a whole may have run.
+    /// Whether any attempt may have run.
     pub ran: Ran,
 }
 
-/// What to do after a failed attempt.
+/// Decision after a failed attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Send it to another upstream.
+    /// Send the request to another upstream.
     Retry,
-    /// Tell the caller.
+    /// Return this failure to the caller.
     Stop(Failure),
 }
 
 impl Attempts {
-    /// A request that was not sent yet.
     pub fn new(repeatable: bool, deadline: Instant) -> Self {
         Self {
             repeatable,
@@ -93,7 +90,7 @@
         }
     }
 
-    /// It is about to be sent.
+    /// Records an attempt that is about to be sent.
     pub fn record_sent(&mut self, budget: &mut Budget) {
         if self.sent == 0 {
             budget.deposit();
@@ -101,12 +98,12 @@
         self.sent = self.sent.saturating_add(1);
     }
 
-    /// An attempt passed on a part of its answer, so it ran.
+    /// Records that a part of the answer was passed on, so the request may have run.
     pub fn record_progress(&mut self) {
         self.ran = Ran::Unknown;
     }
 
-    /// An attempt failed. `wall` is the time of day, for what the caller is told.
+    /// Records a failed attempt and decides what follows. `wall` is the wall-clock time, for the caller's time to retry.
     pub fn record_failure(
         &mut self,
         error: &Error,
@@ -117,20 +114,20 @@
         if error.ran != Ran::No {
             self.ran = Ran::Unknown;
         }
-        let may_repeat = self.may_repeat(error, now);
-        if may_repeat && budget.withdraw() {
+        let may_retry_now = self.may_retry_now(error, now);
+        if may_retry_now && budget.withdraw() {
             return Decision::Retry;
         }
         let failure = self.failure(error, now);
-        let is_over_budget = may_repeat || failure.code == Code::Overloaded;
-        let wait = if is_over_budget { OVERLOAD_RETRY_AFTER } else { RETRY_AFTER };
+        let is_overload = may_retry_now || failure.code == Code::Overloaded;
+        let wait = if is_overload { OVERLOAD_RETRY_AFTER } else { RETRY_AFTER };
         Decision::Stop(Failure {
-            retry_at: self.may_come_back(failure.code).then(|| wall + wait),
+            retry_at: self.may_retry_later(failure.code).then(|| wall + wait),
             ..failure
         })
     }
 
-    /// No upstream is left for another attempt; `refusal` is what routing said.
+    /// Returns the failure for the caller when routing has no upstream left. `refusal` is the failure of routing.
     pub fn exhausted(&self, refusal: Failure) -> Failure {
         match self.ran {
             Ran::No => refusal,
@@ -139,15 +136,15 @@
                 Failure {
                     code,
                     ran,
-                    retry_at: refusal.retry_at.filter(|_| self.may_come_back(code)),
+                    retry_at: refusal.retry_at.filter(|_| self.may_retry_later(code)),
                     ..refusal
                 }
             }
         }
     }
 
-    /// Whether asking again is safe and may help: nothing ran, or it may run more than once.
-    fn may_come_back(&self, code: Code) -> bool {
+    /// Returns whether a retry by the caller is safe and may help.
+    fn may_retry_later(&self, code: Code) -> bool {
         match code {
             Code::Overloaded | Code::NoUpstream => self.ran == Ran::No || self.repeatable,
             Code::UpstreamFailed => self.repeatable,
@@ -155,7 +152,7 @@
         }
     }
 
-    fn may_repeat(&self, error: &Error, now: Instant) -> bool {
+    fn may_retry_now(&self, error: &Error, now: Instant) -> bool {
         let another_may_help = !matches!(error.kind, Kind::Rejected { .. } | Kind::Timeout);
         let allowed = self.repeatable || (error.ran == Ran::No && self.ran == Ran::No);
         another_may_help && allowed && self.sent < MAX_ATTEMPTS && now < self.deadline
--- a/crates/tinbank-routing/src/table/entry.rs
+++ b/crates/tinbank-routing/src/table/entry.rs
@@ -1,4 +1,4 @@
-//! What this process knows of one upstream, readable from traffic threads without a lock.
+//! State of one upstream, read by traffic threads without a lock.
 
 use std::{
     sync::{
@@ -14,7 +14,7 @@
 
 use crate::{
     health::{Change, Health, Signal},
-    leaving::Until,
+    leaving::Exclusion,
     pick::Candidate,
 };
 
@@ -23,34 +23,35 @@
 pub(super) struct Entry {
     pub(super) listed: hosts::Upstream,
     pub(super) near: bool,
-    pub(super) live: Arc<Live>,
+    pub(super) live: Arc<SharedState>,
 }
 
-/// The part of an entry that outlives a change of the list.
+/// State of an upstream that is kept when the host list changes.
 #[derive(Debug)]
-pub(super) struct Live {
+pub(super) struct SharedState {
     epoch: Instant,
     online: AtomicU32,
     batch: AtomicU32,
     pub(super) changed: AtomicBool,
-    /// Milliseconds since `epoch` until which it must get no new work; 0 when it may, the largest number for good.
+    /// Milliseconds since `epoch` until which it gets no new requests; 0 if it may get requests, `u64::MAX` if without limit.
     leaving_until: AtomicU64,
-    report: ArcSwapOption<Reported>,
+    report: ArcSwapOption<ReportedLoad>,
     health: Mutex<Health>,
-    /// Milliseconds since `epoch` until which it is ejected, plus 1; 0 when it is not.
+    /// Milliseconds since `epoch` until which it is ejected, plus 1; 0 if it is not ejected.
     ejected_until: AtomicU64,
     probing: AtomicBool,
-    /// Milliseconds since `epoch` at which its report was asked for, plus 1; 0 for never.
-    asked_at: AtomicU64,
+    /// Milliseconds since `epoch` at which its report was last requested, plus 1; 0 for never.
+    polled_at: AtomicU64,
 }
 
 #[derive(Debug)]
-struct Reported {
+struct ReportedLoad {
     report: Report,
+    /// Number of own requests in flight when the report arrived.
     own: u32,
 }
 
-impl Live {
+impl SharedState {
     pub(super) fn new(epoch: Instant) -> Self {
         Self {
             epoch,
@@ -62,15 +63,15 @@
             health: Mutex::new(Health::default()),
             ejected_until: AtomicU64::new(0),
             probing: AtomicBool::new(false),
-            asked_at: AtomicU64::new(0),
+            polled_at: AtomicU64::new(0),
         }
     }
 
-    pub(super) fn leave(&self, until: Until) {
-        let millis = match until {
-            Until::Never => 0,
-            Until::Time(until) => self.millis(until),
-            Until::Listed => u64::MAX,
+    pub(super) fn set_exclusion(&self, exclusion: Exclusion) {
+        let millis = match exclusion {
+            Exclusion::None => 0,
+            Exclusion::Until(until) => self.millis(until),
+            Exclusion::UntilListed => u64::MAX,
         };
         self.leaving_until.store(millis, Ordering::Relaxed);
     }
@@ -95,20 +96,20 @@
         self.count(traffic).fetch_sub(1, Ordering::Relaxed);
     }
 
-    pub(super) fn report(&self, report: Report) {
-        let reported = Reported {
+    pub(super) fn record_report(&self, report: Report) {
+        let reported = ReportedLoad {
             report,
             own: self.total(),
         };
         self.report.store(Some(Arc::new(reported)));
     }
 
-    pub(super) fn asked_at(&self) -> u64 {
-        self.asked_at.load(Ordering::Relaxed)
+    pub(super) fn polled_at(&self) -> u64 {
+        self.polled_at.load(Ordering::Relaxed)
     }
 
-    pub(super) fn ask(&self, now: Instant) {
-        self.asked_at.store(self.millis(now), Ordering::Relaxed);
+    pub(super) fn mark_polled(&self, now: Instant) {
+        self.polled_at.store(self.millis(now), Ordering::Relaxed);
     }
 
     pub(super) fn last_report(&self) -> Option<Report> {
@@ -132,7 +133,7 @@
         change
     }
 
-    /// Whether the next request is the probe of an ejected upstream. At most one runs at a time.
+    /// Starts a probe and returns `true` if the upstream is ejected and no other probe runs.
     pub(super) fn begin_probe(&self) -> bool {
         self.ejected_until.load(Ordering::Relaxed) != 0
             && !self.probing.swap(true, Ordering::Relaxed)
@@ -161,7 +162,7 @@
 }
 
 impl Entry {
-    /// The entry as the choice sees it; `None` when it is known that it can't run the service.
+    /// Returns the properties for the choice, or `None` if the upstream can't run the service.
     pub(super) fn candidate(&self, artifact: Option<&Artifact>, now: Instant) -> Option<Candidate> {
         if self.live.is_leaving(now) {
             return None;
--- a/crates/tinbank-routing/src/table/mod.rs
+++ b/crates/tinbank-routing/src/table/mod.rs
@@ -1,7 +1,7 @@
-//! The table of upstreams: fed by the control thread, read by traffic threads.
+//! Table of upstreams, updated by the control thread and read by traffic threads.
 //!
-//! Lists, reports and words of peers come from the control thread; choices and their results from traffic threads,
-//! which read an immutable list of entries and atomic counts. See `docs/design/routing.md`.
+//! The control thread applies host lists, reports and updates of peers. Traffic threads choose upstreams and record results, from
+//! an immutable list of entries and atomic counts. See `docs/design/routing.md`.
 
 mod entry;
 mod ticket;
@@ -27,8 +27,8 @@
 use tokio::sync::Notify;
 
 use self::{
-    entry::{Entry, Live},
-    ticket::Held,
+    entry::{Entry, SharedState},
+    ticket::InFlight,
 };
 use crate::{
     choice::{RouteRequest, Choice, Router},
@@ -38,10 +38,10 @@
     shed::Pressure,
 };
 
-/// When to ask again if no upstream can take a request.
-const ASK_AGAIN: Duration = Duration::from_secs(1);
+/// Time after which the caller may retry if no upstream can take a request.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The table of upstreams. Cheap to clone: all clones are one table.
+/// Table of upstreams. Clones share one table.
 #[derive(Clone, Debug)]
 pub struct Table {
     inner: Arc<Inner>,
@@ -53,8 +53,8 @@
     epoch: Instant,
     entries: ArcSwap<Entries>,
     tracker: Mutex<Tracker>,
-    changed: Notify,
-    signed: Notify,
+    online_changed: Notify,
+    leaving_changed: Notify,
 }
 
 #[derive(Debug, Default)]
@@ -65,36 +65,36 @@
 }
 
 impl Table {
-    /// An empty table for a process of the failure domain given.
+    /// Creates an empty table for a process of the given failure domain.
     pub fn new(failure_domain: impl Into<id::FailureDomain>, now: Instant) -> Self {
         let inner = Inner {
             failure_domain: failure_domain.into(),
             epoch: now,
             entries: ArcSwap::default(),
             tracker: Mutex::default(),
-            changed: Notify::new(),
-            signed: Notify::new(),
+            online_changed: Notify::new(),
+            leaving_changed: Notify::new(),
         };
         Self {
             inner: Arc::new(inner),
         }
     }
 
-    /// Takes in the host list. A list older than the one in force is ignored.
+    /// Applies a host list, unless it is older than the current one.
     pub fn apply_list(&self, list: &List, now: Instant) {
         let mut tracker = self.inner.tracker();
-        if !tracker.list(list, now) {
+        if !tracker.apply_list(list, now) {
             return;
         }
-        let signed = !tracker.news(now).is_empty();
+        let has_updates = !tracker.updates(now).is_empty();
         let before = self.inner.entries.load();
         let mut entries = Entries::default();
         for listed in &list.upstreams {
             let live = match before.by_upstream.get(&listed.upstream) {
                 Some(entry) if entry.listed.address == listed.address => entry.live.clone(),
-                _ => Arc::new(Live::new(self.inner.epoch)),
+                _ => Arc::new(SharedState::new(self.inner.epoch)),
             };
-            live.leave(tracker.until(listed.upstream));
+            live.set_exclusion(tracker.exclusion(listed.upstream));
             entries.add(Entry {
                 listed: listed.clone(),
                 near: listed.failure_domain == self.inner.failure_domain,
@@ -102,56 +102,56 @@
             });
         }
         self.inner.entries.store(Arc::new(entries));
-        if signed {
-            self.inner.signed.notify_one();
+        if has_updates {
+            self.inner.leaving_changed.notify_one();
         }
     }
 
-    /// Takes in that an upstream can't be reached for its report, so that no caller has to find out.
+    /// Records that an upstream can't be reached for its report, so that it is ejected before a request fails there.
     pub fn record_unreachable(&self, upstream: id::Upstream, now: Instant) {
         if let Some(entry) = self.inner.entries.load().by_upstream.get(&upstream) {
             entry.live.record(Signal::Unreachable, now);
         }
     }
 
-    /// Takes in an upstream's report.
+    /// Records an upstream's report.
     pub fn record_report(&self, upstream: id::Upstream, report: Report, now: Instant) {
         let entries = self.inner.entries.load();
         let Some(entry) = entries.by_upstream.get(&upstream) else {
             return;
         };
         if report.leaving {
-            self.inner.sign(upstream, now);
+            self.inner.record_leaving(upstream, now);
         }
-        entry.live.report(report);
+        entry.live.record_report(report);
     }
 
-    /// Takes in a peer's word that an upstream is leaving. Returns whether it is news.
-    pub fn apply_leaving(&self, word: Leaving, now: Instant) -> bool {
-        let news = self.inner.tracker().hear(word, now);
-        self.inner.mirror(word.upstream);
-        if news {
-            self.inner.signed.notify_one();
+    /// Applies a peer's update that an upstream is leaving. Returns whether it is new.
+    pub fn apply_leaving(&self, update: Leaving, now: Instant) -> bool {
+        let is_new = self.inner.tracker().apply_update(update, now);
+        self.inner.publish_exclusion(update.upstream);
+        if is_new {
+            self.inner.leaving_changed.notify_one();
         }
-        news
+        is_new
     }
 
-    /// Signs of leaving upstreams to pass on to peers.
+    /// Returns the updates about leaving upstreams to send to peers.
     pub fn leaving_updates(&self, now: Instant) -> SmallVec<[Leaving; 4]> {
-        self.inner.tracker().news(now)
+        self.inner.tracker().updates(now)
     }
 
-    /// Waits until there is news for [`Table::leaving_updates`]. For one listener, which passes the signs on.
+    /// Waits until [`Table::leaving_updates`] has changed. For a single listener.
     pub async fn leaving_changed(&self) {
-        self.inner.signed.notified().await;
+        self.inner.leaving_changed.notified().await;
     }
 
-    /// Whether an upstream gets no new work because it leaves or is not on the list.
+    /// Returns whether an upstream gets no new requests because it is leaving or not listed.
     pub fn is_leaving(&self, upstream: id::Upstream, now: Instant) -> bool {
         self.inner.tracker().is_leaving(upstream, now)
     }
 
-    /// Requests of one kind that this process has in flight at an upstream.
+    /// Returns the number of requests of one kind of traffic that this process has in flight at an upstream.
     pub fn in_flight(&self, upstream: id::Upstream, traffic: Traffic) -> u32 {
         let entries = self.inner.entries.load();
         entries
@@ -160,12 +160,12 @@
             .map_or(0, |entry| entry.live.in_flight(traffic))
     }
 
-    /// Waits until the online in-flight count of some upstream has changed, and returns the counts that did.
+    /// Waits until online in-flight counts have changed, and returns the changed ones.
     ///
-    /// For one listener, which tells the admission controllers.
+    /// For a single listener, which reports them to admission controllers.
     pub async fn online_changed(&self) -> SmallVec<[Load; 4]> {
         loop {
-            self.inner.changed.notified().await;
+            self.inner.online_changed.notified().await;
             let changes = self.take_online_changes();
             if !changes.is_empty() {
                 return changes;
@@ -173,7 +173,7 @@
         }
     }
 
-    /// The online in-flight counts that have changed since they were last taken.
+    /// Returns the online in-flight counts that have changed since the last call.
     pub fn take_online_changes(&self) -> SmallVec<[Load; 4]> {
         let entries = self.inner.entries.load();
         entries
@@ -182,12 +182,12 @@
             .filter(|entry| entry.live.changed.swap(false, Ordering::AcqRel))
             .map(|entry| Load {
                 upstream: entry.listed.upstream,
-                online: saturate(entry.live.in_flight(Traffic::Online)),
+                online: saturate_u16(entry.live.in_flight(Traffic::Online)),
             })
             .collect()
     }
 
-    /// The upstreams on the list, leaving ones included.
+    /// Returns the upstreams of the host list, including leaving ones.
     pub fn upstreams(&self) -> Vec<hosts::Upstream> {
         let entries = self.inner.entries.load();
         entries
@@ -197,7 +197,7 @@
             .collect()
     }
 
-    /// How busy the upstreams of a service are.
+    /// Returns the load of the upstreams of a service.
     pub fn pressure(&self, service: &Service, now: Instant) -> Pressure {
         let entries = self.inner.entries.load();
         let pool = entries
@@ -215,28 +215,27 @@
         })
     }
 
-    /// The last report of an upstream.
     pub fn last_report(&self, upstream: id::Upstream) -> Option<Report> {
         let entries = self.inner.entries.load();
         entries.by_upstream.get(&upstream)?.live.last_report()
     }
 
-    /// Engines that were never asked for their report. They count as asked from now on.
+    /// Returns up to `count` engines whose report has never been requested, and marks it as requested.
     pub fn new_report_targets(&self, count: usize, now: Instant) -> SmallVec<[Target; 8]> {
         let entries = self.inner.entries.load();
         let engines = entries.all.iter();
         let new = engines
-            .filter(|entry| entry.listed.kind == hosts::Kind::Engine && entry.live.asked_at() == 0)
+            .filter(|entry| entry.listed.kind == hosts::Kind::Engine && entry.live.polled_at() == 0)
             .take(count);
         new.map(|entry| {
-            entry.live.ask(now);
+            entry.live.mark_polled(now);
             entry.target()
         })
         .collect()
     }
 
-    /// The engines that were asked for their report the longest ago. They count as asked from now on, so that an engine
-    /// which does not answer is not asked all the time.
+    /// Returns the `count` engines whose report was requested the longest ago, and marks it as requested, so that an unresponsive
+    /// engine is not polled more often.
     pub fn next_report_targets(&self, count: usize, now: Instant) -> SmallVec<[Target; 8]> {
         let entries = self.inner.entries.load();
         let mut engines: Vec<&Arc<Entry>> = entries
@@ -244,10 +243,10 @@
             .iter()
             .filter(|entry| entry.listed.kind == hosts::Kind::Engine)
             .collect();
-        engines.sort_by_key(|entry| (entry.live.asked_at(), entry.listed.upstream));
+        engines.sort_by_key(|entry| (entry.live.polled_at(), entry.listed.upstream));
         let next = engines.into_iter().take(count);
         next.map(|entry| {
-            entry.live.ask(now);
+            entry.live.mark_polled(now);
             entry.target()
         })
         .collect()
@@ -255,16 +254,16 @@
 }
 
 impl Router for Table {
-    fn choose(&self, ask: &RouteRequest<'_>, now: Instant) -> Result<Choice, Failure> {
+    fn choose(&self, request: &RouteRequest<'_>, now: Instant) -> Result<Choice, Failure> {
         let entries = self.inner.entries.load();
         let pool = entries
             .by_pool
-            .get(&ask.service.pool)
+            .get(&request.service.pool)
             .map_or(&[][..], Vec::as_slice);
-        let (runners, candidates) = gather(pool, ask, now);
-        let pick = pick::choose(&candidates, ask.prefix).ok_or_else(|| refusal(ask))?;
+        let (runners, candidates) = find_candidates(pool, request, now);
+        let pick = pick::choose(&candidates, request.prefix).ok_or_else(|| refusal(request))?;
         let entry = runners[pick.index];
-        let ticket = Held::begin(self.inner.clone(), entry.clone(), ask.traffic);
+        let ticket = InFlight::begin(self.inner.clone(), entry.clone(), request.traffic);
         let reason = if ticket.is_probe() {
             "probe"
         } else {
@@ -278,32 +277,32 @@
     }
 }
 
-fn gather<'a>(
+fn find_candidates<'a>(
     pool: &'a [Arc<Entry>],
-    ask: &RouteRequest<'_>,
+    request: &RouteRequest<'_>,
     now: Instant,
 ) -> (Vec<&'a Arc<Entry>>, Vec<Candidate>) {
-    let artifact = ask.service.artifact.as_ref();
+    let artifact = request.service.artifact.as_ref();
     pool.iter()
-        .filter(|entry| entry.listed.kind == ask.service.kind)
-        .filter(|entry| !ask.tried.contains(&entry.listed.upstream))
+        .filter(|entry| entry.listed.kind == request.service.kind)
+        .filter(|entry| !request.tried.contains(&entry.listed.upstream))
         .filter_map(|entry| Some((entry, entry.candidate(artifact, now)?)))
         .unzip()
 }
 
-fn refusal(ask: &RouteRequest<'_>) -> Failure {
-    let message = if ask.tried.is_empty() {
+fn refusal(request: &RouteRequest<'_>) -> Failure {
+    let message = if request.tried.is_empty() {
         format!(
             "no upstream of pool {:?} can take the request now",
-            ask.service.pool
+            request.service.pool
         )
     } else {
         format!(
             "no further upstream of pool {:?} can take the request now",
-            ask.service.pool
+            request.service.pool
         )
     };
-    Failure::not_run(Code::NoUpstream, message).retry_at(SystemTime::now() + ASK_AGAIN)
+    Failure::not_run(Code::NoUpstream, message).retry_at(SystemTime::now() + RETRY_AFTER)
 }
 
 impl Inner {
@@ -311,26 +310,26 @@
         self.tracker.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes in an upstream's own word that it is leaving.
-    fn sign(&self, upstream: id::Upstream, now: Instant) {
-        let news = self.tracker().sign(upstream, now);
-        self.mirror(upstream);
-        if news {
-            self.signed.notify_one();
+    /// Records that an upstream itself reports to be leaving.
+    fn record_leaving(&self, upstream: id::Upstream, now: Instant) {
+        let is_new = self.tracker().record_leaving(upstream, now);
+        self.publish_exclusion(upstream);
+        if is_new {
+            self.leaving_changed.notify_one();
         }
     }
 
-    /// Copies the tracker's verdict to where traffic threads read it.
-    fn mirror(&self, upstream: id::Upstream) {
-        let until = self.tracker().until(upstream);
+    /// Copies the tracker's exclusion to the entry, where traffic threads read it.
+    fn publish_exclusion(&self, upstream: id::Upstream) {
+        let exclusion = self.tracker().exclusion(upstream);
         if let Some(entry) = self.entries.load().by_upstream.get(&upstream) {
-            entry.live.leave(until);
+            entry.live.set_exclusion(exclusion);
         }
     }
 
-    fn count_changed(&self, entry: &Entry) {
+    fn notify_online_changed(&self, entry: &Entry) {
         entry.live.changed.store(true, Ordering::Release);
-        self.changed.notify_one();
+        self.online_changed.notify_one();
     }
 }
 
@@ -358,6 +357,6 @@
     }
 }
 
-fn saturate(count: u32) -> u16 {
+fn saturate_u16(count: u32) -> u16 {
     u16::try_from(count).unwrap_or(u16::MAX)
 }
--- a/crates/tinbank-routing/src/table/ticket.rs
+++ b/crates/tinbank-routing/src/table/ticket.rs
@@ -1,4 +1,4 @@
-//! A choice in flight.
+//! Ticket of a request in flight.
 
 use std::{sync::Arc, time::Instant};
 
@@ -8,40 +8,40 @@
 use super::{Inner, entry::Entry};
 use crate::{choice::Ticket, health::Signal};
 
-/// Counts as in flight until it is dropped.
-pub(super) struct Held {
+/// A request in flight at an upstream, until it is dropped.
+pub(super) struct InFlight {
     inner: Arc<Inner>,
     entry: Arc<Entry>,
     traffic: Traffic,
     probe: bool,
 }
 
-impl Held {
+impl InFlight {
     pub(super) fn begin(inner: Arc<Inner>, entry: Arc<Entry>, traffic: Traffic) -> Self {
         entry.live.begin(traffic);
         let probe = entry.live.begin_probe();
-        let held = Self {
+        let in_flight = Self {
             inner,
             entry,
             traffic,
             probe,
         };
-        held.tell();
-        held
+        in_flight.notify_if_online();
+        in_flight
     }
 
     pub(super) fn is_probe(&self) -> bool {
         self.probe
     }
 
-    fn tell(&self) {
+    fn notify_if_online(&self) {
         if self.traffic == Traffic::Online {
-            self.inner.count_changed(&self.entry);
+            self.inner.notify_online_changed(&self.entry);
         }
     }
 }
 
-impl Ticket for Held {
+impl Ticket for InFlight {
     fn record_result(&self, result: Result<(), &upstream::Error>, now: Instant) {
         let signal = match result {
             Ok(()) => Signal::Healthy,
@@ -54,12 +54,12 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for InFlight {
     fn drop(&mut self) {
         self.entry.live.end(self.traffic);
         if self.probe {
             self.entry.live.end_probe();
         }
-        self.tell();
+        self.notify_if_online();
     }
 }
--- a/crates/tinbank-routing/tests/leaving.rs
+++ b/crates/tinbank-routing/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Leaving upstreams: the first sign counts, and a stale list or word brings nothing back.
+//! Tracking of leaving upstreams: the first notice takes effect, and stale lists or updates don't end it.
 
 use std::time::{Duration, Instant};
 
@@ -8,7 +8,7 @@
     id,
     platform::hosts::{Kind, List, State, Upstream},
 };
-use tinbank_routing::leaving::{GOSSIP, HOLD, Tracker};
+use tinbank_routing::leaving::{GOSSIP_PERIOD, NOTICE_TTL, Tracker};
 use tinbank_test_support::property;
 
 const ENGINE: id::Upstream = 7;
@@ -36,105 +36,105 @@
     list(version, Some(State::Live))
 }
 
-fn gone(version: u64) -> List {
+fn leaving(version: u64) -> List {
     list(version, Some(State::Leaving))
 }
 
 fn tracker(version: u64, now: Instant) -> Tracker {
     let mut tracker = Tracker::default();
-    tracker.list(&live(version), now);
+    tracker.apply_list(&live(version), now);
     tracker
 }
 
 #[test]
-fn the_engine_s_own_word_counts_at_once() {
+fn own_notice_of_upstream_takes_effect_at_once() {
     let now = Instant::now();
     let mut tracker = tracker(5, now);
 
-    assert!(tracker.sign(ENGINE, now));
+    assert!(tracker.record_leaving(ENGINE, now));
 
     assert!(tracker.is_leaving(ENGINE, now));
-    let word = Leaving {
+    let update = Leaving {
         upstream: ENGINE,
         list: 5,
     };
-    assert_eq!(tracker.news(now).as_slice(), [word]);
+    assert_eq!(tracker.updates(now).as_slice(), [update]);
 }
 
 #[yare::parameterized(
-    leaving = { gone(6) },
+    leaving = { leaving(6) },
     no_longer_listed = { list(6, None) },
 )]
-fn what_the_list_says_first_is_passed_on_to_peers_that_have_not_read_it(list: List) {
+fn departure_in_list_is_sent_to_peers(list: List) {
     let now = Instant::now();
     let mut reader = tracker(5, now);
     let mut peer = tracker(5, now);
 
-    reader.list(&list, now);
-    let news = reader.news(now);
-    let heard: Vec<_> = news.iter().map(|word| peer.hear(*word, now)).collect();
+    reader.apply_list(&list, now);
+    let updates = reader.updates(now);
+    let is_new: Vec<_> = updates.iter().map(|update| peer.apply_update(*update, now)).collect();
 
-    assert_eq!(heard, [true]);
+    assert_eq!(is_new, [true]);
     assert!(peer.is_leaving(ENGINE, now));
-    // The list that has it live again ends the word at the reader and at the peer.
-    reader.list(&live(7), now);
-    peer.list(&list, now);
-    peer.list(&live(7), now);
+    // A list that shows it live again ends the notice at both.
+    reader.apply_list(&live(7), now);
+    peer.apply_list(&list, now);
+    peer.apply_list(&live(7), now);
     assert!(!reader.is_leaving(ENGINE, now));
     assert!(!peer.is_leaving(ENGINE, now));
 }
 
-/// What operators drain and return is laid over the platform's list, whose version stays.
+/// Drains by operators are merged into the platform's list without a change of its version.
 #[test]
-fn what_operators_return_within_a_version_of_the_list_gets_work_at_once() {
+fn operator_drain_and_return_within_one_list_version() {
     let now = Instant::now();
     let mut tracker = tracker(5, now);
 
-    tracker.list(&gone(5), now);
+    tracker.apply_list(&leaving(5), now);
     let drained = tracker.is_leaving(ENGINE, now);
-    let news = tracker.news(now);
-    tracker.list(&live(5), now);
+    let updates = tracker.updates(now);
+    tracker.apply_list(&live(5), now);
 
     assert!(drained);
-    assert!(news.is_empty(), "every process reads it itself: {news:?}");
+    assert!(updates.is_empty(), "drains are not sent to peers: {updates:?}");
     assert!(!tracker.is_leaving(ENGINE, now));
 }
 
 #[test]
-fn a_lagging_list_does_not_bring_it_back() {
+fn lagging_list_does_not_end_notice() {
     let now = Instant::now();
     let mut tracker = tracker(5, now);
-    tracker.sign(ENGINE, now);
+    tracker.record_leaving(ENGINE, now);
 
-    // Newer for another reason, and still lagging.
-    tracker.list(&live(6), now);
-    tracker.list(&live(4), now);
+    // Newer by an unrelated change.
+    tracker.apply_list(&live(6), now);
+    tracker.apply_list(&live(4), now);
 
     assert!(tracker.is_leaving(ENGINE, now));
 }
 
 #[test]
-fn it_is_back_when_a_list_shows_it_live_again() {
+fn list_that_shows_return_ends_notice() {
     let now = Instant::now();
     let mut tracker = tracker(5, now);
-    tracker.sign(ENGINE, now);
+    tracker.record_leaving(ENGINE, now);
 
-    tracker.list(&gone(6), now);
+    tracker.apply_list(&leaving(6), now);
     assert!(tracker.is_leaving(ENGINE, now));
-    tracker.list(&live(9), now);
+    tracker.apply_list(&live(9), now);
 
     assert!(!tracker.is_leaving(ENGINE, now));
-    assert!(tracker.news(now).is_empty());
+    assert!(tracker.updates(now).is_empty());
 }
 
 #[test]
-fn a_word_from_before_its_return_is_stale() {
+fn update_from_before_return_is_ignored() {
     let now = Instant::now();
     let mut tracker = tracker(5, now);
-    tracker.list(&gone(6), now);
-    tracker.list(&live(9), now);
+    tracker.apply_list(&leaving(6), now);
+    tracker.apply_list(&live(9), now);
 
-    let news = tracker.hear(
+    let is_new = tracker.apply_update(
         Leaving {
             upstream: ENGINE,
             list: 5,
@@ -142,16 +142,16 @@
         now,
     );
 
-    assert!(!news);
+    assert!(!is_new);
     assert!(!tracker.is_leaving(ENGINE, now));
 }
 
 #[test]
-fn a_peer_s_word_counts_though_our_list_is_newer() {
+fn update_with_older_list_version_is_applied() {
     let now = Instant::now();
     let mut tracker = tracker(8, now);
 
-    let news = tracker.hear(
+    let is_new = tracker.apply_update(
         Leaving {
             upstream: ENGINE,
             list: 5,
@@ -159,30 +159,30 @@
         now,
     );
 
-    assert!(news);
+    assert!(is_new);
     assert!(tracker.is_leaving(ENGINE, now));
 }
 
 #[test]
-fn a_sign_that_nothing_confirms_ends() {
+fn unconfirmed_notice_expires() {
     let now = Instant::now();
     let mut tracker = tracker(5, now);
-    tracker.sign(ENGINE, now);
+    tracker.record_leaving(ENGINE, now);
 
-    assert!(tracker.news(now + GOSSIP).is_empty());
-    assert!(tracker.is_leaving(ENGINE, now + HOLD - Duration::from_millis(1)));
-    assert!(!tracker.is_leaving(ENGINE, now + HOLD));
+    assert!(tracker.updates(now + GOSSIP_PERIOD).is_empty());
+    assert!(tracker.is_leaving(ENGINE, now + NOTICE_TTL - Duration::from_millis(1)));
+    assert!(!tracker.is_leaving(ENGINE, now + NOTICE_TTL));
 }
 
 #[test]
-fn an_echo_of_our_own_word_is_no_news() {
+fn echoed_update_is_not_new() {
     let now = Instant::now();
     let mut tracker = tracker(5, now);
-    tracker.sign(ENGINE, now);
+    tracker.record_leaving(ENGINE, now);
 
-    let echoes = (1..100_u64).filter(|second| {
+    let repeats = (1..100_u64).filter(|second| {
         let later = now + Duration::from_secs(*second / 10);
-        tracker.hear(
+        tracker.apply_update(
             Leaving {
                 upstream: ENGINE,
                 list: 5,
@@ -191,18 +191,18 @@
         )
     });
 
-    assert_eq!(echoes.count(), 0);
+    assert_eq!(repeats.count(), 0);
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// The platform's list changes, for this engine or for another reason.
+    /// The platform's list gets a new version, which may change the state of the engine.
     Platform(Option<bool>),
-    /// A host reads the list as it was some versions ago.
+    /// A host reads the list of some versions ago.
     Read { host: usize, behind: usize },
-    /// The engine tells a host that it is leaving.
+    /// The engine reports to a host that it is leaving.
     Sign { host: usize },
-    /// A host tells another what it knows.
+    /// A host sends its updates to another.
     Gossip { from: usize, to: usize },
 }
 
@@ -220,14 +220,14 @@
 proptest! {
     #![proptest_config(property::config(2_000))]
 
-    /// The naive version keeps, for each host, the newest list that a sign was given under, the list that the host has in
-    /// force, and the one in which it saw the engine come back.
+    /// The reference keeps for each host the newest list version of a notice, the current list version, and the one in which the
+    /// engine returned.
     #[test]
-    fn only_a_return_on_the_list_ends_a_sign(steps in prop::collection::vec(step(), 1..60)) {
+    fn only_return_in_list_ends_notice(steps in prop::collection::vec(step(), 1..60)) {
         let now = Instant::now();
         let mut platform = vec![true];
         let mut hosts: Vec<Tracker> = (0..HOSTS).map(|_| tracker(0, now)).collect();
-        let mut naive = [Naive::default(); HOSTS];
+        let mut references = [Reference::default(); HOSTS];
         for step in steps {
             match step {
                 Step::Platform(change) => {
@@ -237,25 +237,25 @@
                 Step::Read { host, behind } => {
                     let version = (platform.len() - 1).saturating_sub(behind);
                     let is_live = platform[version];
-                    let list = if is_live { live(version as u64) } else { gone(version as u64) };
-                    hosts[host].list(&list, now);
-                    naive[host].read(version as u64, is_live);
+                    let list = if is_live { live(version as u64) } else { leaving(version as u64) };
+                    hosts[host].apply_list(&list, now);
+                    references[host].read(version as u64, is_live);
                 }
                 Step::Sign { host } => {
-                    hosts[host].sign(ENGINE, now);
-                    naive[host].sign(naive[host].version);
+                    hosts[host].record_leaving(ENGINE, now);
+                    references[host].sign(references[host].version);
                 }
                 Step::Gossip { from, to } => {
-                    for word in hosts[from].news(now) {
-                        hosts[to].hear(word, now);
-                        if word.list >= naive[to].returned {
-                            naive[to].sign(word.list);
+                    for update in hosts[from].updates(now) {
+                        hosts[to].apply_update(update, now);
+                        if update.list >= references[to].returned {
+                            references[to].sign(update.list);
                         }
                     }
                 }
             }
             for host in 0..HOSTS {
-                let expected = naive[host].signed.is_some() || naive[host].is_gone;
+                let expected = references[host].signed.is_some() || references[host].is_gone;
                 prop_assert_eq!(hosts[host].is_leaving(ENGINE, now), expected, "host {}", host);
             }
         }
@@ -263,14 +263,14 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Naive {
+struct Reference {
     version: u64,
     is_gone: bool,
     returned: u64,
     signed: Option<u64>,
 }
 
-impl Naive {
+impl Reference {
     fn read(&mut self, version: u64, is_live: bool) {
         if version < self.version {
             return;
--- a/crates/tinbank-routing/tests/retry.rs
+++ b/crates/tinbank-routing/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Decisions on sending again.
+//! Retry decisions.
 
 use std::time::{Duration, Instant, UNIX_EPOCH};
 
@@ -48,7 +48,7 @@
     #![proptest_config(property::config(2_000))]
 
     #[test]
-    fn what_may_not_be_repeated_runs_at_most_once(failures in prop::collection::vec((ran(), kind()), 1..8)) {
+    fn unrepeatable_request_runs_at_most_once(failures in prop::collection::vec((ran(), kind()), 1..8)) {
         let now = Instant::now();
         let mut attempts = Attempts::new(false, now + Duration::from_secs(1));
         let mut budget = Budget::default();
@@ -68,7 +68,7 @@
     }
 
     #[test]
-    fn not_run_is_said_only_if_no_attempt_may_have_run(
+    fn not_run_is_reported_only_if_no_attempt_may_have_run(
         repeatable: bool,
         failures in prop::collection::vec((ran(), kind()), 1..8),
     ) {
@@ -88,7 +88,7 @@
     }
 
     #[test]
-    fn nothing_is_sent_again_after_the_deadline(ran in ran(), kind in kind()) {
+    fn nothing_is_retried_after_deadline(ran in ran(), kind in kind()) {
         let now = Instant::now();
         let mut attempts = Attempts::new(true, now);
         let mut budget = Budget::default();
@@ -100,23 +100,23 @@
     }
 
     #[test]
-    fn the_budget_bounds_what_is_sent_again(steps in prop::collection::vec(any::<bool>(), 0..600)) {
+    fn budget_bounds_retries(steps in prop::collection::vec(any::<bool>(), 0..600)) {
         let mut budget = Budget::default();
-        let (mut first, mut again) = (0_u64, 0_u64);
+        let (mut requests, mut retries) = (0_u64, 0_u64);
         for is_first in steps {
             if is_first {
                 budget.deposit();
-                first += 1;
+                requests += 1;
             } else {
-                again += u64::from(budget.withdraw());
+                retries += u64::from(budget.withdraw());
             }
-            prop_assert!(again * 1_000 <= RESERVE_MILLIS + first * RATIO_MILLIS);
+            prop_assert!(retries * 1_000 <= RESERVE_MILLIS + requests * RATIO_MILLIS);
         }
     }
 }
 
 #[test]
-fn a_stream_that_had_begun_is_never_not_run() {
+fn begun_stream_is_never_reported_as_not_run() {
     let now = Instant::now();
     let mut attempts = Attempts::new(true, now + Duration::from_secs(1));
     let mut budget = Budget::default();
@@ -133,7 +133,7 @@
     let decision = attempts.record_failure(&refused, &mut budget, now, UNIX_EPOCH);
 
     let Decision::Stop(failure) = decision else {
-        panic!("a rejected body is not sent again");
+        panic!("a rejected body is not retried");
     };
     assert_eq!(
         (failure.code, failure.ran),
@@ -149,7 +149,7 @@
     outcome_unknown = { false, Ran::Unknown, Kind::Cut(String::new()), Code::OutcomeUnknown, None },
     late = { true, Ran::Unknown, Kind::Timeout, Code::Timeout, None },
 )]
-fn a_caller_that_is_given_up_on_is_told_when_to_come_back_if_that_is_safe(
+fn final_failure_has_retry_time_if_retry_is_safe(
     repeatable: bool,
     ran: Ran,
     kind: Kind,
@@ -163,14 +163,14 @@
     let decision = attempts.record_failure(&error(ran, kind), &mut Budget::default(), now, UNIX_EPOCH);
 
     let Decision::Stop(failure) = decision else {
-        panic!("it was sent as often as may be");
+        panic!("the attempts are used up");
     };
     assert_eq!(failure.code, code);
     assert_eq!(failure.retry_at, wait.map(|wait| UNIX_EPOCH + wait));
 }
 
 #[test]
-fn a_used_up_budget_sends_callers_away_for_longer() {
+fn exhausted_budget_lengthens_retry_time() {
     let now = Instant::now();
     let mut budget = Budget::default();
     while budget.withdraw() {}
@@ -191,10 +191,10 @@
     repeatable = { Ran::Unknown, true, true },
     may_have_run = { Ran::Unknown, false, false },
 )]
-fn when_no_upstream_is_left_only_a_safe_resend_is_asked_for(
+fn exhausted_upstreams_give_retry_time_if_retry_is_safe(
     ran: Ran,
     repeatable: bool,
-    told: bool,
+    has_retry_time: bool,
 ) {
     let mut attempts = Attempts::new(repeatable, Instant::now());
     attempts.ran = ran;
@@ -202,5 +202,5 @@
 
     let failure = attempts.exhausted(refusal);
 
-    assert_eq!(failure.retry_at.is_some(), told);
+    assert_eq!(failure.retry_at.is_some(), has_retry_time);
 }
--- a/crates/tinbank-routing/tests/table.rs
+++ b/crates/tinbank-routing/tests/table.rs
@@ -1,4 +1,4 @@
-//! The table: what traffic threads and the control thread see of it.
+//! Table of upstreams, as used by traffic threads and the control thread.
 
 use std::{
     net::SocketAddr,
@@ -17,7 +17,7 @@
     },
 };
 use tinbank_configuration::{service::Service, template::Traffic};
-use tinbank_routing::{RouteRequest, Choice, Router as _, Table, health::FIRST_EJECTION, leaving::HOLD};
+use tinbank_routing::{RouteRequest, Choice, Router as _, Table, health::FIRST_EJECTION, leaving::NOTICE_TTL};
 use yare::parameterized;
 
 const POOL: &str = "notes";
@@ -73,13 +73,13 @@
 
 fn choose(table: &Table, traffic: Traffic, tried: &[id::Upstream], now: Instant) -> Option<Choice> {
     let service = service();
-    let ask = RouteRequest {
+    let request = RouteRequest {
         service: &service,
         traffic,
         prefix: 3,
         tried: SmallVec::from_slice(tried),
     };
-    table.choose(&ask, now).ok()
+    table.choose(&request, now).ok()
 }
 
 fn online(table: &Table, now: Instant) -> Option<Choice> {
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_choice_counts_as_in_flight_until_it_is_dropped() {
+fn choice_counts_as_in_flight_until_dropped() {
     let now = Instant::now();
     let table = table(1, now);
 
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn changes_of_online_counts_are_told_and_those_of_batch_are_not() {
+fn only_online_counts_are_reported_as_changed() {
     let now = Instant::now();
     let table = table(1, now);
 
@@ -130,7 +130,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_listener_wakes_at_a_change() {
+async fn listener_is_notified_of_change() {
     let now = Instant::now();
     let table = table(2, now);
     let listener = tokio::spawn({
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn counts_outlive_a_change_of_the_list() {
+fn counts_survive_change_of_list() {
     let now = Instant::now();
     let table = table(1, now);
     let choice = online(&table, now);
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn upstreams_that_were_tried_are_avoided_to_the_last() {
+fn tried_upstreams_are_not_chosen_again() {
     let now = Instant::now();
     let table = table(4, now);
     let mut tried = Vec::new();
@@ -173,18 +173,18 @@
 }
 
 #[test]
-fn a_refusal_promises_that_nothing_ran_and_says_when_to_come_back() {
+fn refusal_states_not_run_and_retry_time() {
     let now = Instant::now();
     let table = table(0, now);
     let service = service();
-    let ask = RouteRequest {
+    let request = RouteRequest {
         service: &service,
         traffic: Traffic::Online,
         prefix: 0,
         tried: SmallVec::new(),
     };
 
-    let failure = table.choose(&ask, now).expect_err("there is no engine");
+    let failure = table.choose(&request, now).expect_err("there is no engine");
 
     assert_eq!((failure.code, failure.ran), (Code::NoUpstream, Ran::No));
     assert!(failure.retry_at.is_some());
@@ -195,7 +195,7 @@
     another_kind = { Upstream { kind: Kind::Plain, ..engine(1) } },
     leaving = { Upstream { state: State::Leaving, ..engine(1) } },
 )]
-fn it_is_no_candidate(upstream: Upstream) {
+fn unsuitable_upstream_is_not_chosen(upstream: Upstream) {
     let now = Instant::now();
     let table = Table::new("here", now);
     table.apply_list(&list(1, vec![upstream]), now);
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn engines_known_to_lack_the_artifact_get_nothing_and_unheard_ones_come_last() {
+fn engine_without_artifact_is_excluded_and_unknown_one_is_last() {
     let now = Instant::now();
     let table = table(3, now);
     let loaded = Report {
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn an_engine_that_says_it_leaves_is_out_at_once_and_the_sign_is_passed_on() {
+fn leaving_answer_excludes_engine_and_is_sent_to_peers() {
     let now = Instant::now();
     let table = table(2, now);
     let first = online(&table, now).expect("an engine is free");
@@ -234,15 +234,15 @@
 
     let after = online(&table, now).expect("the other one is free");
     assert_ne!(after.target.upstream, left);
-    let word = Leaving {
+    let update = Leaving {
         upstream: left,
         list: 1,
     };
-    assert_eq!(table.leaving_updates(now).as_slice(), [word]);
+    assert_eq!(table.leaving_updates(now).as_slice(), [update]);
 }
 
 #[test]
-fn a_sign_that_no_list_confirms_ends_without_a_new_list() {
+fn unconfirmed_leaving_expires_without_new_list() {
     let now = Instant::now();
     let table = table(1, now);
     table.apply_leaving(
@@ -253,12 +253,12 @@
         now,
     );
 
-    assert!(online(&table, now + HOLD - Duration::from_secs(1)).is_none());
-    assert!(online(&table, now + HOLD).is_some());
+    assert!(online(&table, now + NOTICE_TTL - Duration::from_secs(1)).is_none());
+    assert!(online(&table, now + NOTICE_TTL).is_some());
 }
 
 #[test]
-fn a_leaving_report_and_a_peer_s_word_count_alike() {
+fn leaving_report_and_peer_update_both_exclude() {
     let now = Instant::now();
     let table = table(2, now);
     let report = Report {
@@ -267,7 +267,7 @@
     };
 
     table.record_report(1, report, now);
-    let news = table.apply_leaving(
+    let is_new = table.apply_leaving(
         Leaving {
             upstream: 2,
             list: 1,
@@ -275,12 +275,12 @@
         now,
     );
 
-    assert!(news);
+    assert!(is_new);
     assert!(online(&table, now).is_none());
 }
 
 #[test]
-fn an_ejected_engine_returns_by_one_probe_at_a_time() {
+fn ejected_engine_returns_after_single_probe() {
     let now = Instant::now();
     let table = table(2, now);
     let first = online(&table, now).expect("an engine is free");
@@ -294,12 +294,12 @@
     let during = online(&table, now).expect("the other one is free");
     let later = now + FIRST_EJECTION;
     let probe = choose(&table, Traffic::Online, &[other], later).expect("it may be probed");
-    let beside = choose(&table, Traffic::Online, &[], later).expect("the other one is free");
+    let concurrent = choose(&table, Traffic::Online, &[], later).expect("the other one is free");
 
     assert_eq!(during.target.upstream, other);
     assert_eq!((probe.target.upstream, probe.reason), (ejected, "probe"));
-    assert_eq!(beside.target.upstream, other);
-    drop((during, beside));
+    assert_eq!(concurrent.target.upstream, other);
+    drop((during, concurrent));
     probe.ticket.record_result(Ok(()), later);
     drop(probe);
     let back = online(&table, later).expect("it is back");
@@ -307,16 +307,16 @@
 }
 
 #[test]
-fn reports_are_asked_in_turn_though_some_engines_never_answer() {
+fn reports_are_polled_in_turn_without_answers() {
     let now = Instant::now();
     let table = table(6, now);
 
-    let asked: Vec<id::Upstream> = (0..6)
+    let polled: Vec<id::Upstream> = (0..6)
         .flat_map(|second| table.next_report_targets(2, now + Duration::from_secs(second)))
         .map(|target| target.upstream)
         .collect();
 
-    assert_eq!(asked, [1, 2, 3, 4, 5, 6, 1, 2, 3, 4, 5, 6]);
+    assert_eq!(polled, [1, 2, 3, 4, 5, 6, 1, 2, 3, 4, 5, 6]);
 }
 
 #[test]
