--- a/crates/tinbank-routing/src/limit/account.rs
+++ b/crates/tinbank-routing/src/limit/account.rs
@@ -1,4 +1,4 @@
-//! What a host remembers of a scope: what was let in, what is asked for, and its claims.
+//! State of one scope at a host: admitted requests, demand and claims.
 
 use std::time::{Duration, Instant};
 
@@ -6,16 +6,16 @@
 
 use super::{
     bucket::{Bucket, Rate},
-    claim::{Claim, PATIENCE},
+    claim::{Claim, FIRST_ANSWER_TIMEOUT},
     demand::Average,
     scope::LimitKind,
     share,
 };
 
-/// A bucket holds what comes in this time, and at least one request.
-const BURST: Duration = Duration::from_secs(1);
-/// When to ask again if too many run at once.
-const AT_ONCE_WAIT: Duration = Duration::from_secs(1);
+/// A bucket holds the tokens of this period, and at least one request.
+const BURST_PERIOD: Duration = Duration::from_secs(1);
+/// Time after which the caller may retry if the limit of concurrent requests is reached.
+const CONCURRENCY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 #[derive(Clone, Debug)]
 pub(super) struct Account {
@@ -25,7 +25,7 @@
     pub(super) running: u32,
     pub(super) arrivals: Average,
     pub(super) accepted: Average,
-    pub(super) crowded: Average,
+    pub(super) over_concurrency: Average,
     pub(super) spent: Average,
     pub(super) claims: [Claim; LimitKind::ALL.len()],
 }
@@ -34,32 +34,32 @@
     pub(super) fn new(limits: Online, hosts: usize, now: Instant) -> Self {
         Self {
             limits,
-            requests: Bucket::new(rate(0.0, least(&limits, hosts)), now),
+            requests: Bucket::new(rate(0.0, min_burst(&limits, hosts)), now),
             tokens: Bucket::new(rate(0.0, 1.0), now),
             running: 0,
             arrivals: Average::new(now),
             accepted: Average::new(now),
-            crowded: Average::new(now),
+            over_concurrency: Average::new(now),
             spent: Average::new(now),
             claims: [Claim::default(); LimitKind::ALL.len()],
         }
     }
 
-    /// What is asked for, refused requests included.
+    /// Returns the demand, including refused requests.
     pub(super) fn demand(&self, limit_kind: LimitKind, now: Instant) -> f64 {
         let arrivals = self.arrivals.per_second(now);
         match limit_kind {
             LimitKind::Requests => arrivals,
             LimitKind::Tokens => {
                 let accepted = self.accepted.per_second(now);
-                let asked = if accepted > 0.0 {
+                let arrivals_per_accepted = if accepted > 0.0 {
                     arrivals / accepted
                 } else {
                     1.0
                 };
-                self.spent.per_second(now) * asked
+                self.spent.per_second(now) * arrivals_per_accepted
             }
-            LimitKind::Concurrency => f64::from(self.running) + self.crowded.per_second(now),
+            LimitKind::Concurrency => f64::from(self.running) + self.over_concurrency.per_second(now),
         }
     }
 
@@ -68,57 +68,57 @@
         Some(self.claims[limit_kind as usize].share(most.into(), hosts, now))
     }
 
-    /// The demand that is worth an ask: none as long as the next request is let in anyhow.
-    pub(super) fn wanted(&self, limit_kind: LimitKind, hosts: usize, now: Instant) -> f64 {
+    /// Returns the demand to claim: 0 while the next request is admitted without a grant.
+    pub(super) fn reported_demand(&self, limit_kind: LimitKind, hosts: usize, now: Instant) -> f64 {
         let is_served = limit_kind == LimitKind::Requests
-            && is_small(&self.limits, hosts)
+            && is_below_one_per_host(&self.limits, hosts)
             && self.requests.holds(1.0)
-            && self.claims[limit_kind as usize].held(now) <= 0.0;
+            && self.claims[limit_kind as usize].granted(now) <= 0.0;
         if is_served {
             return 0.0;
         }
         self.demand(limit_kind, now)
     }
 
-    /// Takes in the demand; returns whether any of it is new.
-    pub(super) fn want(&mut self, hosts: usize, now: Instant) -> bool {
+    /// Updates the demand of all claims. Returns whether any of it is new.
+    pub(super) fn update_demand(&mut self, hosts: usize, now: Instant) -> bool {
         let mut is_new = false;
         for limit_kind in LimitKind::ALL {
             if let Some(most) = limit_kind.of(&self.limits) {
-                let demand = self.wanted(limit_kind, hosts, now);
-                is_new |= self.claims[limit_kind as usize].want(demand, most.into(), hosts, now);
+                let demand = self.reported_demand(limit_kind, hosts, now);
+                is_new |= self.claims[limit_kind as usize].update_demand(demand, most.into(), hosts, now);
             }
         }
         is_new
     }
 
-    /// When to ask again after a refusal: soon, if the keeper may let us have more.
+    /// Returns the time to retry after a refusal, which is early if a grant may arrive.
     fn retry_at(&self, limit_kind: LimitKind, wait: Duration, hosts: usize, now: Instant) -> Instant {
-        if hosts > 1 && self.claims[limit_kind as usize].waits(now) {
-            return now + wait.min(PATIENCE);
+        if hosts > 1 && self.claims[limit_kind as usize].awaits_answer(now) {
+            return now + wait.min(FIRST_ANSWER_TIMEOUT);
         }
         now + wait
     }
 
-    pub(super) fn fill(&mut self, hosts: usize, now: Instant) {
+    pub(super) fn refill(&mut self, hosts: usize, now: Instant) {
         if let Some(share) = self.share(LimitKind::Tokens, hosts, now) {
-            self.tokens.fill(rate(share, 1.0), now);
+            self.tokens.refill(rate(share, 1.0), now);
         }
         if let Some(share) = self.share(LimitKind::Requests, hosts, now) {
-            let least = least(&self.limits, hosts);
-            self.requests.fill(rate(share, least), now);
+            let min_burst = min_burst(&self.limits, hosts);
+            self.requests.refill(rate(share, min_burst), now);
         }
     }
 
     pub(super) fn check(&mut self, hosts: usize, now: Instant) -> Result<(), (LimitKind, Instant)> {
-        self.fill(hosts, now);
-        let at_once = self.at_once(hosts, now);
-        if at_once.is_some_and(|most| self.running >= most) {
-            self.crowded.add(1.0, now);
-            return Err((LimitKind::Concurrency, now + AT_ONCE_WAIT));
+        self.refill(hosts, now);
+        let concurrency_share = self.concurrency_share(hosts, now);
+        if concurrency_share.is_some_and(|most| self.running >= most) {
+            self.over_concurrency.add(1.0, now);
+            return Err((LimitKind::Concurrency, now + CONCURRENCY_RETRY_AFTER));
         }
         if let Some(share) = self.share(LimitKind::Tokens, hosts, now) {
-            // The price is known only afterwards: one is let in as long as nothing is owed.
+            // The price is known only afterwards, so a request is admitted unless tokens are owed.
             let owed = self.tokens.check(0.0, rate(share, 1.0));
             owed.map_err(|wait| {
                 (
@@ -139,16 +139,16 @@
         Ok(())
     }
 
-    /// How many may run at once here. Till the keeper has answered that is an even part, so that a quiet customer's first
-    /// requests are not refused; each host lets one in, or a limit below the number of hosts would let nobody in.
-    fn at_once(&self, hosts: usize, now: Instant) -> Option<u32> {
+    /// Returns the number of requests that may run concurrently at this host: at least an even share until the keeper has answered,
+    /// so that the first requests of an idle customer are admitted, and at least one, for limits below the number of hosts.
+    fn concurrency_share(&self, hosts: usize, now: Instant) -> Option<u32> {
         let most = LimitKind::Concurrency.of(&self.limits)?;
         let claim = &self.claims[LimitKind::Concurrency as usize];
         let share = claim.share(most.into(), hosts, now);
-        let is_granted = claim.held(now) > 0.0;
+        let is_granted = claim.granted(now) > 0.0;
         let share = match is_granted {
             true => share,
-            false => share.max(share::even(most.into(), hosts)),
+            false => share.max(share::even_share(most.into(), hosts)),
         };
         Some((share.floor() as u32).max(1))
     }
@@ -159,14 +159,14 @@
         self.running += 1;
     }
 
-    /// Whether a new account would let in no more than this one.
+    /// Returns whether the account can be discarded: a new one would admit no more.
     pub(super) fn is_idle(&self, hosts: usize, now: Instant) -> bool {
         if self.running > 0 || !self.claims.iter().all(|claim| claim.is_idle(now)) {
             return false;
         }
         let mut filled = self.clone();
-        filled.fill(hosts, now);
-        let requests = filled.requests.holds(least(&self.limits, hosts));
+        filled.refill(hosts, now);
+        let requests = filled.requests.holds(min_burst(&self.limits, hosts));
         let tokens = filled.tokens.holds(1.0);
         let (no_requests, no_tokens) = (
             self.limits.requests_per_second.is_none(),
@@ -176,29 +176,29 @@
     }
 }
 
-fn rate(per_second: f64, least: f64) -> Rate {
+fn rate(per_second: f64, min_burst: f64) -> Rate {
     Rate {
         per_second,
-        burst: (per_second * BURST.as_secs_f64()).max(least),
+        burst: (per_second * BURST_PERIOD.as_secs_f64()).max(min_burst),
     }
 }
 
-/// Requests that a host may always let in after a quiet time: what an even part of the limit brings in a second, so that a
-/// customer far under its limit is not refused while the keeper is asked. With a limit below the number of hosts most
-/// requests are the first in a long while at their host: two are let in, and the keeper is asked only after the second.
-fn least(limits: &Online, hosts: usize) -> f64 {
-    if is_small(limits, hosts) {
+/// Returns the smallest bucket size: an even share of one second, so that a customer far below its limit is not refused before the
+/// keeper answers. With a limit below one request per second and host, two requests are admitted and the keeper is asked only after
+/// the second, since most requests there are isolated.
+fn min_burst(limits: &Online, hosts: usize) -> f64 {
+    if is_below_one_per_host(limits, hosts) {
         return 2.0;
     }
-    let even = limits
+    let even_share = limits
         .requests_per_second
-        .map_or(1.0, |limit| share::even(limit.into(), hosts));
-    (even * BURST.as_secs_f64()).max(1.0)
+        .map_or(1.0, |limit| share::even_share(limit.into(), hosts));
+    (even_share * BURST_PERIOD.as_secs_f64()).max(1.0)
 }
 
-/// Whether the limit is below one request a second and host.
-fn is_small(limits: &Online, hosts: usize) -> bool {
+/// Returns whether the limit is below one request per second and host.
+fn is_below_one_per_host(limits: &Online, hosts: usize) -> bool {
     limits
         .requests_per_second
-        .is_some_and(|limit| share::even(limit.into(), hosts) < 1.0)
+        .is_some_and(|limit| share::even_share(limit.into(), hosts) < 1.0)
 }
--- a/crates/tinbank-routing/src/limit/bucket.rs
+++ b/crates/tinbank-routing/src/limit/bucket.rs
@@ -1,63 +1,63 @@
-//! A token bucket whose rate may change at any time. Pure.
+//! Token bucket whose rate may change at any time.
 
 use std::time::{Duration, Instant};
 
-/// Longest time that a caller is told to wait.
-pub const LONGEST_WAIT: Duration = Duration::from_secs(60);
+/// Longest time to wait that a caller is given.
+pub const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// A token bucket. It may be overdrawn where the price of a request is only known afterwards.
+/// A token bucket. It may be overdrawn if the price of a request is known only afterwards.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bucket {
     level: f64,
-    filled_at: Instant,
+    refilled_at: Instant,
 }
 
 /// Rate and size of a bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rate {
-    /// Tokens a second.
+    /// Tokens per second.
     pub per_second: f64,
-    /// Most tokens that it holds.
+    /// Maximum number of tokens that it holds.
     pub burst: f64,
 }
 
 impl Bucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(rate: Rate, now: Instant) -> Self {
         Self {
             level: rate.burst,
-            filled_at: now,
+            refilled_at: now,
         }
     }
 
-    /// Takes in the time that has passed.
-    pub fn fill(&mut self, rate: Rate, now: Instant) {
-        let passed = now.saturating_duration_since(self.filled_at).as_secs_f64();
-        self.filled_at = self.filled_at.max(now);
+    /// Adds tokens for the time since the last refill.
+    pub fn refill(&mut self, rate: Rate, now: Instant) {
+        let passed = now.saturating_duration_since(self.refilled_at).as_secs_f64();
+        self.refilled_at = self.refilled_at.max(now);
         self.level = (self.level + passed * rate.per_second).min(rate.burst);
     }
 
-    /// Whether it holds at least `price`; otherwise how long that takes.
+    /// Returns an error with the time to wait if it holds less than `price`.
     pub fn check(&self, price: f64, rate: Rate) -> Result<(), Duration> {
         if self.holds(price) {
             return Ok(());
         }
         let seconds = (price - self.level) / rate.per_second;
-        let longest = LONGEST_WAIT.as_secs_f64();
+        let longest = MAX_WAIT.as_secs_f64();
         if seconds.is_finite() && seconds < longest {
             return Err(Duration::from_secs_f64(seconds));
         }
-        Err(LONGEST_WAIT)
+        Err(MAX_WAIT)
     }
 
-    /// Whether it held at least so many when it was last filled.
+    /// Returns whether it held at least this many tokens at the last refill.
     pub fn holds(&self, tokens: f64) -> bool {
-        // Rounding of many small fills must not cost a whole token.
+        // Tolerates the rounding errors of many small refills.
         const ROUNDING: f64 = 1e-9;
         self.level + ROUNDING >= tokens
     }
 
-    /// Takes tokens out, below zero if need be.
+    /// Removes tokens, below zero if necessary.
     pub fn take(&mut self, price: f64) {
         self.level -= price;
     }
--- a/crates/tinbank-routing/src/limit/claim.rs
+++ b/crates/tinbank-routing/src/limit/claim.rs
@@ -1,4 +1,4 @@
-//! One host's claim to a part of one limit: when to ask the keeper, and what its grant allows. Pure.
+//! One host's claim to a part of one limit: when to ask the keeper, and the share that its grant allows.
 
 use std::time::{Duration, Instant};
 
@@ -6,43 +6,43 @@
 
 use super::{demand::from_millis, share};
 
-/// Shortest time between two asks for one limit.
-pub const ASK_GAP: Duration = Duration::from_secs(1);
-/// Longest time between two asks of which none is answered; it doubles from [`ASK_GAP`] on.
-pub const LONGEST_GAP: Duration = Duration::from_secs(32);
-/// How long a grant holds that gives less than was asked for.
-pub const SHORT_HOLD: Duration = Duration::from_secs(2);
-/// How long other grants hold.
-pub const HOLD: Duration = Duration::from_secs(10);
-/// How long a grant holds at most, when the keeper has many to answer.
+/// Shortest interval between two asks for one limit.
+pub const MIN_ASK_INTERVAL: Duration = Duration::from_secs(1);
+/// Longest interval between asks that get no answer. The interval doubles from [`MIN_ASK_INTERVAL`].
+pub const MAX_ASK_INTERVAL: Duration = Duration::from_secs(32);
+/// Validity of a grant of less than the target.
+pub const PARTIAL_GRANT_TTL: Duration = Duration::from_secs(2);
+/// Usual validity of a grant.
+pub const GRANT_TTL: Duration = Duration::from_secs(10);
+/// Longest validity of a grant, from a keeper with many claimants.
 pub const MAX_GRANT_TTL: Duration = Duration::from_secs(30);
-/// Demand below this is nothing to ask for.
-pub const NEGLIGIBLE: f64 = 0.05;
-/// A change of demand by this part of the limit is told before the grant has to be renewed.
+/// Demand up to this value is not claimed.
+pub const MIN_DEMAND: f64 = 0.05;
+/// A change of demand by more than this fraction of the limit, and [`CHANGE_OF_DEMAND`], is claimed before the renewal is due.
 const CHANGE_OF_LIMIT: f64 = 0.05;
-/// It has to be this part of the demand told, too.
+/// Smallest change that is claimed early, as a fraction of the demand last claimed.
 const CHANGE_OF_DEMAND: f64 = 0.25;
 
-/// How long a host with new demand waits for the keeper's first answer before it takes an even part instead.
-pub const PATIENCE: Duration = Duration::from_secs(1);
-/// Counts as so many asks without an answer when the keeper says that it can't grant anything yet.
-const WAITS: u32 = 2;
+/// Time that a host with new demand waits for the keeper's first answer before it uses an even share.
+pub const FIRST_ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Number of unanswered asks from which the host uses an even share. Also set when the keeper can't grant anything yet.
+const MAX_UNANSWERED: u32 = 2;
 
 /// One host's claim to a limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Claim {
-    told: Option<Told>,
+    last_ask: Option<LastAsk>,
     grant: Option<Grant>,
-    /// Asks since the last answer.
+    /// Number of asks since the last answer.
     unanswered: u32,
-    /// Since when there has been demand that is worth an ask.
-    wanted_since: Option<Instant>,
-    /// The keeper waits for the next ask.
+    /// Start of the current significant demand.
+    demand_since: Option<Instant>,
+    /// Whether the keeper waits for the next ask.
     is_recalled: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Told {
+struct LastAsk {
     round: u32,
     at: Instant,
     demand: f64,
@@ -56,70 +56,70 @@
 }
 
 impl Claim {
-    /// What of the limit this host may use.
+    /// Returns the share of the limit that this host may use.
     pub fn share(&self, limit: f64, hosts: usize, now: Instant) -> f64 {
         if hosts <= 1 {
             return limit;
         }
         match self.in_force(now) {
-            Some(grant) => share::floor(limit, hosts) + grant.amount,
-            None if self.waits(now) => share::floor(limit, hosts),
-            None => share::even(limit, hosts),
+            Some(grant) => share::base_share(limit, hosts) + grant.amount,
+            None if self.awaits_answer(now) => share::base_share(limit, hosts),
+            None => share::even_share(limit, hosts),
         }
     }
 
-    /// Whether the keeper's answer may still come, or is not needed.
-    pub fn waits(&self, now: Instant) -> bool {
-        let is_late = |since| since + PATIENCE <= now;
+    /// Returns whether there is no grant and the keeper may still answer in time, or no answer is needed.
+    pub fn awaits_answer(&self, now: Instant) -> bool {
+        let is_late = |since| since + FIRST_ANSWER_TIMEOUT <= now;
         self.in_force(now).is_none()
-            && self.unanswered < WAITS
-            && !self.wanted_since.is_some_and(is_late)
+            && self.unanswered < MAX_UNANSWERED
+            && !self.demand_since.is_some_and(is_late)
     }
 
-    /// Takes in the demand. Returns whether it is new, so that the keeper should be asked at once.
-    pub fn want(&mut self, demand: f64, limit: f64, hosts: usize, now: Instant) -> bool {
-        if !is_wanted(demand, limit, hosts) {
-            self.wanted_since = None;
+    /// Updates the demand. Returns whether it is new, so that the keeper should be asked at once.
+    pub fn update_demand(&mut self, demand: f64, limit: f64, hosts: usize, now: Instant) -> bool {
+        if !is_significant(demand, limit, hosts) {
+            self.demand_since = None;
             return false;
         }
-        let is_new = self.wanted_since.is_none();
-        self.wanted_since.get_or_insert(now);
+        let is_new = self.demand_since.is_none();
+        self.demand_since.get_or_insert(now);
         is_new && self.in_force(now).is_none()
     }
 
-    /// The grant that is in force.
-    pub fn held(&self, now: Instant) -> f64 {
+    /// Returns the amount of the valid grant.
+    pub fn granted(&self, now: Instant) -> f64 {
         self.in_force(now).map_or(0.0, |grant| grant.amount)
     }
 
-    /// Whether the keeper should be asked now.
+    /// Returns whether the keeper should be asked now.
     pub fn is_due(&self, demand: f64, limit: f64, hosts: usize, now: Instant) -> bool {
-        let wanted = is_wanted(demand, limit, hosts);
-        let Some(told) = self.told else {
-            return wanted;
+        let significant = is_significant(demand, limit, hosts);
+        let Some(last_ask) = self.last_ask else {
+            return significant;
         };
         let grant = self.in_force(now);
         if self.is_recalled && grant.is_some() {
             return true;
         }
-        if now < told.at + self.gap() {
+        if now < last_ask.at + self.interval() {
             return false;
         }
         let Some(grant) = grant else {
-            return wanted;
+            return significant;
         };
-        let change = (demand - told.demand).abs();
-        let is_large = change > CHANGE_OF_LIMIT * limit && change > CHANGE_OF_DEMAND * told.demand;
-        is_large || (wanted && (self.unanswered > 0 || now >= grant.renew_at))
+        let change = (demand - last_ask.demand).abs();
+        let is_large = change > CHANGE_OF_LIMIT * limit && change > CHANGE_OF_DEMAND * last_ask.demand;
+        is_large || (significant && (self.unanswered > 0 || now >= grant.renew_at))
     }
 
-    /// The keeper is asked now. What of the grant is far above the demand is given up at once, so that others can have it.
-    pub fn ask(&mut self, round: u32, demand: f64, limit: f64, now: Instant) {
+    /// Records an ask that is being sent. Gives up the part of the grant that far exceeds the demand, for other hosts.
+    pub fn record_ask(&mut self, round: u32, demand: f64, limit: f64, now: Instant) {
         let needed = demand * (1.0 + 2.0 * CHANGE_OF_DEMAND) + CHANGE_OF_LIMIT * limit;
         if let Some(grant) = &mut self.grant {
             grant.amount = grant.amount.min(needed);
         }
-        self.told = Some(Told {
+        self.last_ask = Some(LastAsk {
             round,
             at: now,
             demand,
@@ -128,53 +128,52 @@
         self.is_recalled = false;
     }
 
-    /// The keeper wants to be asked again, since others lack what we may have too much of. Returns whether there is
-    /// anything to give back.
-    pub fn recall(&mut self, now: Instant) -> bool {
+    /// Applies a recall: the keeper needs a new ask to reassign parts of the limit. Returns whether there is a grant to reduce.
+    pub fn on_recall(&mut self, now: Instant) -> bool {
         self.is_recalled = self.in_force(now).is_some();
         self.is_recalled
     }
 
-    /// Takes in an answer. One to an earlier ask than the last counts for nothing, since the keeper relies on it that a
-    /// host which has asked again uses no earlier answer. Returns whether the keeper should be asked again at once.
-    pub fn answer(&mut self, round: u32, part: Part, now: Instant) -> bool {
-        let Some(told) = self.told.filter(|told| told.round == round) else {
+    /// Applies an answer. An answer to an earlier ask than the last is dropped, since the keeper assumes that a later ask
+    /// supersedes it. Returns whether the keeper should be asked again at once.
+    pub fn on_answer(&mut self, round: u32, part: Part, now: Instant) -> bool {
+        let Some(last_ask) = self.last_ask.filter(|last_ask| last_ask.round == round) else {
             return false;
         };
         if part.holds_s == 0 {
-            self.unanswered = WAITS;
+            self.unanswered = MAX_UNANSWERED;
             return false;
         }
         self.unanswered = 0;
         let holds = Duration::from_secs(part.holds_s.into()).min(MAX_GRANT_TTL);
         let amount = from_millis(part.millis);
-        // The keeper can give to others what was taken from us only once we have said that we know.
+        // The keeper can reassign the difference only after the next ask confirms the lower grant.
         let is_lower = |grant: Grant| amount < grant.amount * (1.0 - CHANGE_OF_LIMIT);
         self.is_recalled = self.in_force(now).is_some_and(is_lower);
         self.grant = Some(Grant {
             amount,
-            until: told.at + holds,
-            renew_at: told.at + holds / 2,
+            until: last_ask.at + holds,
+            renew_at: last_ask.at + holds / 2,
         });
         self.is_recalled
     }
 
-    /// Whether there is nothing to remember.
+    /// Returns whether the claim can be discarded.
     pub fn is_idle(&self, now: Instant) -> bool {
-        self.in_force(now).is_none() && self.told.is_none_or(|told| told.at + HOLD <= now)
+        self.in_force(now).is_none() && self.last_ask.is_none_or(|last_ask| last_ask.at + GRANT_TTL <= now)
     }
 
     fn in_force(&self, now: Instant) -> Option<Grant> {
         self.grant.filter(|grant| now < grant.until)
     }
 
-    /// Asks that get no answer become rarer: the keeper is lost, or has too many to answer.
-    fn gap(&self) -> Duration {
+    /// Returns the interval to the next ask, with exponential backoff while the keeper does not answer.
+    fn interval(&self) -> Duration {
         let doublings = self.unanswered.saturating_sub(1).min(5);
-        (ASK_GAP * (1 << doublings)).min(LONGEST_GAP)
+        (MIN_ASK_INTERVAL * (1 << doublings)).min(MAX_ASK_INTERVAL)
     }
 }
 
-fn is_wanted(demand: f64, limit: f64, hosts: usize) -> bool {
-    demand > NEGLIGIBLE && demand > share::floor(limit, hosts)
+fn is_significant(demand: f64, limit: f64, hosts: usize) -> bool {
+    demand > MIN_DEMAND && demand > share::base_share(limit, hosts)
 }
--- a/crates/tinbank-routing/src/limit/keeper.rs
+++ b/crates/tinbank-routing/src/limit/keeper.rs
@@ -1,4 +1,4 @@
-//! The keeper of limits: grants parts of them to the hosts that ask, never more than the pool at a time. Pure.
+//! Keeper of limits: grants parts of them to hosts with demand, in total at most the pool.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,70 +14,69 @@
 
 use super::{
     bucket::Bucket,
-    claim::{HOLD, MAX_GRANT_TTL, SHORT_HOLD},
+    claim::{GRANT_TTL, MAX_GRANT_TTL, PARTIAL_GRANT_TTL},
     demand::{FRAME_BYTES, LIMIT_BYTES, PART_BYTES, budget, from_millis, millis},
     ring::Ring,
     share,
 };
 
-/// Asks a second that a keeper means to answer; with more, grants hold longer, so that the next asks come later.
-const ANSWERS_PER_SECOND: u32 = 8;
-/// A grant of this part of what a host should have is no reason to ask again soon.
-const NEARLY: f64 = 0.95;
+/// Target rate of asks. With more claimants grants are valid for longer, so that renewals come later.
+const TARGET_ANSWERS_PER_SECOND: u32 = 8;
+/// A grant of at least this fraction of the target counts as complete.
+const NEAR_TARGET: f64 = 0.95;
 
-/// Time between two recalls to one host for one limit.
-const RECALL_GAP: Duration = Duration::from_millis(500);
-/// Most hosts that are recalled at a time for one limit, those that it matters most for first.
+/// Shortest interval between two recalls to one host for one limit.
+const MIN_RECALL_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum number of hosts that are recalled at a time for one limit, those with the largest difference first.
 const MAX_RECALLS: usize = 4;
 
-/// Grants of the limits that one host keeps.
+/// Grants of the limits that are assigned to one host.
 #[derive(Clone, Debug)]
 pub struct Keeper {
     own: Writer,
     ring: Ring,
-    limits: BTreeMap<id::Limit, Kept>,
-    bytes: Bucket,
+    limits: BTreeMap<id::Limit, LimitState>,
+    byte_budget: Bucket,
 }
 
-/// What a keeper says to an ask.
+/// Answer of a keeper to an ask.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Answer {
-    /// To the host that asked; `None` if it gets no answer: we keep none of its limits, or have answered too many.
+    /// Answer to the asking host; `None` if this host is not the keeper or the byte budget is used up.
     pub grant: Option<Grant>,
-    /// To hosts that have more than their part while this one lacks, or that lack what it has given back.
+    /// Recalls to hosts that hold too much while the asking host lacks, or that lack what it has returned.
     pub recalls: Vec<(Writer, Recall)>,
 }
 
 #[derive(Clone, Debug)]
-struct Kept {
-    /// Until then another keeper's grants may hold.
-    sole_from: Option<Instant>,
-    asking: BTreeMap<Writer, Asking>,
+struct LimitState {
+    /// Time until which grants of another keeper may be valid.
+    exclusive_from: Option<Instant>,
+    claimants: BTreeMap<Writer, Claimant>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Asking {
+struct Claimant {
     round: u32,
     most: u32,
     demand: f64,
-    /// The most that the host may have in force: what it said that it has, or what it was granted since.
+    /// Largest amount that may be valid at the host: the larger of what it reported and what it was granted since.
     outstanding: f64,
     until: Instant,
     recalled: Option<Instant>,
 }
 
 impl Keeper {
-    /// A keeper that knows no hosts yet.
     pub fn new(own: Writer, now: Instant) -> Self {
         Self {
             own,
             ring: Ring::default(),
             limits: BTreeMap::new(),
-            bytes: Bucket::new(budget(1), now),
+            byte_budget: Bucket::new(budget(1), now),
         }
     }
 
-    /// Takes in which hosts serve.
+    /// Sets the serving hosts, and drops the limits that are now assigned to others.
     pub fn set_hosts(&mut self, hosts: BTreeSet<id::Host>, now: Instant) {
         if !self.ring.set(hosts, now) {
             return;
@@ -87,7 +86,7 @@
             .retain(|limit, _| ring.keeper(*limit) == Some(own));
     }
 
-    /// Takes in an ask.
+    /// Handles an ask.
     pub fn on_ask(&mut self, from: Writer, ask: &Ask, now: Instant) -> Answer {
         let own = self.own.process.host;
         let keeps = |claim: &Claim| self.ring.keeper(claim.limit) == Some(own);
@@ -95,19 +94,19 @@
             return Answer::default();
         }
         let answers = self.may_answer(from, ask, now);
-        let hold = self.hold();
+        let grant_ttl = self.grant_ttl();
         let hosts = self.ring.hosts().len();
         let parts = ask.claims.iter().map(|claim| {
             let ring = &self.ring;
-            let kept = self.limits.entry(claim.limit).or_insert_with(|| Kept {
-                sole_from: ring.sole_from(claim.limit, own),
-                asking: BTreeMap::new(),
+            let state = self.limits.entry(claim.limit).or_insert_with(|| LimitState {
+                exclusive_from: ring.exclusive_from(claim.limit, own),
+                claimants: BTreeMap::new(),
             });
-            kept.hear(from, ask.round, claim, now);
+            state.record_claim(from, ask.round, claim, now);
             if !answers {
                 return None;
             }
-            kept.grant(from, ask.round, hosts, hold, now)
+            state.grant(from, ask.round, hosts, grant_ttl, now)
         });
         let parts: Vec<Option<Part>> = parts.collect();
         let parts = parts.into_iter().collect::<Option<_>>();
@@ -118,22 +117,22 @@
         }
     }
 
-    /// Recalls for the limits of an ask that could not be granted as far as they should.
+    /// Returns the recalls that an ask makes necessary.
     fn recalls(&mut self, from: Writer, ask: &Ask, now: Instant) -> Vec<(Writer, Recall)> {
         let hosts = self.ring.hosts().len();
         let mut recalls: BTreeMap<Writer, Recall> = BTreeMap::new();
         for claim in &ask.claims {
-            let Some(kept) = self.limits.get_mut(&claim.limit) else {
+            let Some(state) = self.limits.get_mut(&claim.limit) else {
                 continue;
             };
-            for writer in kept.name_recalls(from, hosts, now) {
+            for writer in state.select_recalls(from, hosts, now) {
                 let price = FRAME_BYTES + LIMIT_BYTES;
                 let is_own = writer == self.own;
-                if !is_own && self.bytes.check(price, budget(hosts)).is_err() {
+                if !is_own && self.byte_budget.check(price, budget(hosts)).is_err() {
                     continue;
                 }
                 if !is_own {
-                    self.bytes.take(price);
+                    self.byte_budget.take(price);
                 }
                 let recall = recalls.entry(writer).or_insert_with(|| Recall {
                     limits: SmallVec::new(),
@@ -144,17 +143,17 @@
         recalls.into_iter().collect()
     }
 
-    /// Forgets what no longer counts. Call it about once a second.
+    /// Removes expired claims. Call it about once per second.
     pub fn remove_expired(&mut self, now: Instant) {
-        for kept in self.limits.values_mut() {
-            kept.asking.retain(|_, asking| now < asking.until);
+        for state in self.limits.values_mut() {
+            state.claimants.retain(|_, claimant| now < claimant.until);
         }
-        self.limits.retain(|_, kept| !kept.asking.is_empty());
+        self.limits.retain(|_, state| !state.claimants.is_empty());
     }
 
-    /// Pairs of a limit and a host that are remembered.
-    pub fn asking(&self) -> usize {
-        self.limits.values().map(|kept| kept.asking.len()).sum()
+    /// Returns the number of pairs of a limit and a host with a claim.
+    pub fn claimants(&self) -> usize {
+        self.limits.values().map(|state| state.claimants.len()).sum()
     }
 
     fn may_answer(&mut self, from: Writer, ask: &Ask, now: Instant) -> bool {
@@ -163,96 +162,96 @@
         }
         let price = FRAME_BYTES + PART_BYTES * ask.claims.len() as f64;
         let budget = budget(self.ring.hosts().len());
-        self.bytes.fill(budget, now);
-        let left = self.bytes.check(price, budget).is_ok();
+        self.byte_budget.refill(budget, now);
+        let left = self.byte_budget.check(price, budget).is_ok();
         if left {
-            self.bytes.take(price);
+            self.byte_budget.take(price);
         }
         left
     }
 
-    /// How long grants hold, so that the asks for their renewal stay few.
-    fn hold(&self) -> Duration {
-        let renewals = u32::try_from(self.asking()).unwrap_or(u32::MAX) / ANSWERS_PER_SECOND;
-        Duration::from_secs((2 * u64::from(renewals)).min(MAX_GRANT_TTL.as_secs())).max(HOLD)
+    /// Returns the validity of grants, which grows with the number of claimants to limit the rate of renewals.
+    fn grant_ttl(&self) -> Duration {
+        let renewals = u32::try_from(self.claimants()).unwrap_or(u32::MAX) / TARGET_ANSWERS_PER_SECOND;
+        Duration::from_secs((2 * u64::from(renewals)).min(MAX_GRANT_TTL.as_secs())).max(GRANT_TTL)
     }
 }
 
-impl Kept {
-    /// Takes in what a host says. Its grants so far hold no longer than until they end or it tells of less.
-    fn hear(&mut self, from: Writer, round: u32, claim: &Claim, now: Instant) {
-        self.asking.retain(|_, asking| now < asking.until);
-        let known = self.asking.get(&from).copied();
+impl LimitState {
+    /// Records a claim. It supersedes the earlier grants of the host, except for their expiry.
+    fn record_claim(&mut self, from: Writer, round: u32, claim: &Claim, now: Instant) {
+        self.claimants.retain(|_, claimant| now < claimant.until);
+        let known = self.claimants.get(&from).copied();
         if known.is_some_and(|known| round <= known.round) {
             return;
         }
-        // Whoever we don't know was granted what it holds by another keeper.
+        // What an unknown host holds was granted by another keeper.
         let unknown_until = match claim.held_millis {
             0 => now,
             _ => now + MAX_GRANT_TTL,
         };
         let held_until = known.map_or(unknown_until, |known| known.until);
-        let asking = Asking {
+        let claimant = Claimant {
             round,
             most: claim.most,
             demand: from_millis(claim.demand_millis),
             outstanding: from_millis(claim.held_millis),
-            until: held_until.max(now + HOLD),
+            until: held_until.max(now + GRANT_TTL),
             recalled: known.and_then(|known| known.recalled),
         };
-        self.asking.insert(from, asking);
+        self.claimants.insert(from, claimant);
     }
 
     fn pool(&self) -> f64 {
-        let most = self.asking.values().map(|asking| asking.most).min();
+        let most = self.claimants.values().map(|claimant| claimant.most).min();
         share::pool(most.unwrap_or(0).into())
     }
 
-    /// What a host should have.
-    fn target(&self, asking: &Asking, hosts: usize) -> f64 {
-        let total: f64 = self.asking.values().map(|asking| asking.demand).sum();
+    /// Returns the amount that a host should get.
+    fn target(&self, claimant: &Claimant, hosts: usize) -> f64 {
+        let total: f64 = self.claimants.values().map(|claimant| claimant.demand).sum();
         let demand = share::Demand {
-            own: asking.demand,
-            others: (total - asking.demand).max(0.0),
-            asking: self.asking.len(),
+            own: claimant.demand,
+            others: (total - claimant.demand).max(0.0),
+            claimants: self.claimants.len(),
             hosts,
         };
         share::target(self.pool(), demand)
     }
 
-    /// Hosts that should ask again now that one has asked: those that have too much if it lacks, or those that lack if
-    /// something is left for them. Each is named at most once in a while.
-    fn name_recalls(&mut self, from: Writer, hosts: usize, now: Instant) -> Vec<Writer> {
-        let Some(asking) = self.asking.get(&from) else {
+    /// Selects the hosts to recall after an ask of `from`: those that hold too much if `from` lacks, or else those that lack if a
+    /// part of the pool is free.
+    fn select_recalls(&mut self, from: Writer, hosts: usize, now: Instant) -> Vec<Writer> {
+        let Some(claimant) = self.claimants.get(&from) else {
             return Vec::new();
         };
-        let lack = |asking: &Asking| self.target(asking, hosts) * NEARLY - asking.outstanding;
-        let excess = |asking: &Asking| asking.outstanding * NEARLY - self.target(asking, hosts);
-        let outstanding = self.asking.values().map(|asking| asking.outstanding);
+        let lack = |claimant: &Claimant| self.target(claimant, hosts) * NEAR_TARGET - claimant.outstanding;
+        let excess = |claimant: &Claimant| claimant.outstanding * NEAR_TARGET - self.target(claimant, hosts);
+        let outstanding = self.claimants.values().map(|claimant| claimant.outstanding);
         let left = self.pool() - outstanding.sum::<f64>();
-        let urgency: &dyn Fn(&Asking) -> f64 = if lack(asking) > 0.0 {
+        let urgency: &dyn Fn(&Claimant) -> f64 = if lack(claimant) > 0.0 {
             &excess
-        } else if left > self.pool() * (1.0 - NEARLY) {
+        } else if left > self.pool() * (1.0 - NEAR_TARGET) {
             &lack
         } else {
             return Vec::new();
         };
-        let may_be_named =
-            |asking: &Asking| asking.recalled.is_none_or(|at| at + RECALL_GAP <= now);
-        let others = self.asking.iter();
-        let others = others.filter(|(writer, asking)| **writer != from && may_be_named(asking));
-        let mut named: Vec<(f64, Writer)> = others
-            .map(|(writer, asking)| (urgency(asking), *writer))
+        let may_be_recalled =
+            |claimant: &Claimant| claimant.recalled.is_none_or(|at| at + MIN_RECALL_INTERVAL <= now);
+        let others = self.claimants.iter();
+        let others = others.filter(|(writer, claimant)| **writer != from && may_be_recalled(claimant));
+        let mut selected: Vec<(f64, Writer)> = others
+            .map(|(writer, claimant)| (urgency(claimant), *writer))
             .filter(|(urgency, _)| *urgency > 0.0)
             .collect();
-        named.sort_by(|a, b| b.0.total_cmp(&a.0));
-        named.truncate(MAX_RECALLS);
-        for (_, writer) in &named {
-            if let Some(asking) = self.asking.get_mut(writer) {
-                asking.recalled = Some(now);
+        selected.sort_by(|a, b| b.0.total_cmp(&a.0));
+        selected.truncate(MAX_RECALLS);
+        for (_, writer) in &selected {
+            if let Some(claimant) = self.claimants.get_mut(writer) {
+                claimant.recalled = Some(now);
             }
         }
-        named.into_iter().map(|(_, writer)| writer).collect()
+        selected.into_iter().map(|(_, writer)| writer).collect()
     }
 
     fn grant(
@@ -260,23 +259,23 @@
         from: Writer,
         round: u32,
         hosts: usize,
-        hold: Duration,
+        grant_ttl: Duration,
         now: Instant,
     ) -> Option<Part> {
-        let asking = *self.asking.get(&from)?;
-        if asking.round != round {
+        let claimant = *self.claimants.get(&from)?;
+        if claimant.round != round {
             return None;
         }
         let pool = self.pool();
-        let others = || self.asking.iter().filter(|(writer, _)| **writer != from);
-        let sum = |of: fn(&Asking) -> f64| others().map(|(_, asking)| of(asking)).sum::<f64>();
-        let target = self.target(&asking, hosts);
-        let left = (pool - sum(|asking| asking.outstanding)).max(0.0);
-        let held = asking.outstanding;
-        let is_sole = self.sole_from.is_none_or(|sole| sole <= now);
-        let amount = match is_sole {
+        let others = || self.claimants.iter().filter(|(writer, _)| **writer != from);
+        let sum = |of: fn(&Claimant) -> f64| others().map(|(_, claimant)| of(claimant)).sum::<f64>();
+        let target = self.target(&claimant, hosts);
+        let left = (pool - sum(|claimant| claimant.outstanding)).max(0.0);
+        let held = claimant.outstanding;
+        let is_exclusive = self.exclusive_from.is_none_or(|at| at <= now);
+        let amount = match is_exclusive {
             true => target.min(left),
-            // What others hold is not known yet, so nobody gets more than it has.
+            // What other hosts hold is not fully known yet, so nothing is added.
             false if held > 0.0 => held.min(left),
             false => {
                 return Some(Part {
@@ -285,20 +284,20 @@
                 });
             }
         };
-        let is_whole = is_sole && amount >= target * NEARLY;
-        let holds = if is_whole {
-            hold
+        let is_whole = is_exclusive && amount >= target * NEAR_TARGET;
+        let ttl = if is_whole {
+            grant_ttl
         } else {
-            SHORT_HOLD.max(hold / 5)
+            PARTIAL_GRANT_TTL.max(grant_ttl / 5)
         };
         // Rounded down, so that the parts never add up to more than the pool.
         let millis = millis(amount);
-        let entry = self.asking.get_mut(&from)?;
+        let entry = self.claimants.get_mut(&from)?;
         entry.outstanding = held.max(from_millis(millis));
-        entry.until = entry.until.max(now + holds);
+        entry.until = entry.until.max(now + ttl);
         Some(Part {
             millis,
-            holds_s: u16::try_from(holds.as_secs()).unwrap_or(u16::MAX),
+            holds_s: u16::try_from(ttl.as_secs()).unwrap_or(u16::MAX),
         })
     }
 }
--- a/crates/tinbank-routing/src/limit/limiter.rs
+++ b/crates/tinbank-routing/src/limit/limiter.rs
@@ -1,4 +1,4 @@
-//! The limiter of one host.
+//! Limiter of one host, which enforces its shares of all limits.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -6,7 +6,7 @@
 };
 
 use tinbank_base::{
-    frame::demand::{Ask, Claim as Told, Grant, Recall},
+    frame::demand::{Ask, Claim as ClaimFrame, Grant, Recall},
     id,
 };
 
@@ -18,19 +18,19 @@
     scope::{self, Kind, Scope, LimitKind},
 };
 
-/// How often accounts are forgotten that are of no use.
-const TIDY_EVERY: Duration = Duration::from_secs(4);
-/// An answer that takes longer counts for nothing.
-const ANSWER_TIME: Duration = Duration::from_secs(2);
+/// Interval at which idle accounts are removed.
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(4);
+/// Time after which an answer to an ask is dropped.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A request over a limit. It was not run.
+/// Refusal of a request over a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Which limit.
+    /// The limit that was reached.
     pub limit_kind: LimitKind,
-    /// Whether it is the customer's, the service's or the stream's.
+    /// Whether it is a limit of the customer, the service or the stream.
     pub scope: Kind,
-    /// When to ask again.
+    /// Time at which the caller may retry.
     pub retry_at: Instant,
 }
 
@@ -41,22 +41,22 @@
     ring: Ring,
     accounts: BTreeMap<id::Limit, Account>,
     round: u32,
-    open: BTreeMap<u32, Open>,
-    bytes: Bucket,
-    tidy_at: Instant,
+    pending: BTreeMap<u32, PendingAsk>,
+    byte_budget: Bucket,
+    next_cleanup: Instant,
     is_urgent: bool,
 }
 
-/// An ask that may still be answered.
+/// An ask that has not been answered.
 #[derive(Clone, Debug)]
-struct Open {
+struct PendingAsk {
     keeper: id::Host,
     at: Instant,
     limits: Vec<(id::Limit, LimitKind)>,
 }
 
-/// A claim that its keeper should be told of.
-struct Due {
+/// A claim to be sent to its keeper.
+struct DueClaim {
     key: id::Limit,
     limit_kind: LimitKind,
     most: u32,
@@ -64,29 +64,28 @@
 }
 
 impl Limiter {
-    /// A limiter that knows no other host yet.
     pub fn new(own: id::Host, now: Instant) -> Self {
         Self {
             own,
             ring: Ring::default(),
             accounts: BTreeMap::new(),
             round: 0,
-            open: BTreeMap::new(),
-            bytes: Bucket::new(budget(1), now),
-            tidy_at: now,
+            pending: BTreeMap::new(),
+            byte_budget: Bucket::new(budget(1), now),
+            next_cleanup: now,
             is_urgent: false,
         }
     }
 
-    /// Takes in which hosts share the limits.
+    /// Sets the hosts that share the limits.
     pub fn set_hosts(&mut self, hosts: BTreeSet<id::Host>, now: Instant) {
         self.ring.set(hosts, now);
     }
 
-    /// Lets a request in, or says which limit it is over. What is let in has to be ended by [`Limiter::end`].
+    /// Admits a request unless it exceeds a limit. Each admitted request has to be ended by [`Limiter::end`].
     ///
     /// # Errors
-    /// The first limit that was reached, and when to ask again.
+    /// Returns the first limit that was reached and the time to retry.
     pub fn begin(&mut self, scopes: &[Scope], now: Instant) -> Result<(), Refusal> {
         let hosts = self.hosts();
         let mut refusal = None;
@@ -94,7 +93,7 @@
             let account = self.account(scope, now);
             account.arrivals.add(1.0, now);
             let checked = account.check(hosts, now);
-            let is_urgent = checked.is_err() && account.want(hosts, now);
+            let is_urgent = checked.is_err() && account.update_demand(hosts, now);
             self.is_urgent |= is_urgent;
             let refused = |(limit_kind, retry_at)| Refusal {
                 limit_kind,
@@ -109,13 +108,13 @@
         for scope in scopes {
             let account = self.account(scope, now);
             account.begin(now);
-            let is_urgent = account.want(hosts, now);
+            let is_urgent = account.update_demand(hosts, now);
             self.is_urgent |= is_urgent;
         }
         Ok(())
     }
 
-    /// A request that was let in has ended.
+    /// Records the end of an admitted request.
     pub fn end(&mut self, scopes: &[Scope]) {
         for scope in scopes {
             if let Some(account) = self.accounts.get_mut(&scope.key) {
@@ -124,7 +123,7 @@
         }
     }
 
-    /// Tokens were generated for a request.
+    /// Records tokens generated for a request.
     pub fn spend(&mut self, scopes: &[Scope], tokens: u32, now: Instant) {
         for scope in scopes {
             if let Some(account) = self.accounts.get_mut(&scope.key) {
@@ -134,27 +133,27 @@
         }
     }
 
-    /// Whether there is new demand, so that the keepers should be asked at once.
+    /// Returns whether the keepers should be asked at once, for example due to new demand.
     pub fn is_urgent(&self) -> bool {
         self.is_urgent
     }
 
-    /// What the keepers are to be asked now, the most pressing first and no more than the budget of bytes allows. Call
-    /// it about twice a second, and when there [is new demand](Self::is_urgent).
+    /// Returns the asks to send to keepers now, those with the highest demand relative to the limit first, within the byte budget.
+    /// Call it about twice per second, and when it [is urgent](Self::is_urgent).
     pub fn asks(&mut self, now: Instant) -> Vec<(id::Host, Ask)> {
         self.is_urgent = false;
-        self.tidy(now);
+        self.clean_up(now);
         let hosts = self.hosts();
         for account in self.accounts.values_mut() {
-            account.want(hosts, now);
+            account.update_demand(hosts, now);
         }
-        let mut due = self.due(now);
-        let pressure = |due: &Due| due.demand / f64::from(due.most);
+        let mut due = self.due_claims(now);
+        let pressure = |due: &DueClaim| due.demand / f64::from(due.most);
         due.sort_by(|a, b| pressure(b).total_cmp(&pressure(a)));
-        self.bytes.fill(budget(hosts), now);
-        let mut asks: Vec<(id::Host, Vec<Due>)> = Vec::new();
+        self.byte_budget.refill(budget(hosts), now);
+        let mut asks: Vec<(id::Host, Vec<DueClaim>)> = Vec::new();
         for due in due {
-            if self.bytes.check(CLAIM_BYTES, budget(hosts)).is_err() {
+            if self.byte_budget.check(CLAIM_BYTES, budget(hosts)).is_err() {
                 break;
             }
             let Some(keeper) = self.ring.keeper(due.key) else {
@@ -164,10 +163,10 @@
             let frame = if known.is_some() { 0.0 } else { FRAME_BYTES };
             let price = frame + CLAIM_BYTES;
             let is_full = known.is_some_and(|place| asks[place].1.len() >= MAX_CLAIMS);
-            if is_full || self.bytes.check(price, budget(hosts)).is_err() {
+            if is_full || self.byte_budget.check(price, budget(hosts)).is_err() {
                 continue;
             }
-            self.bytes.take(price);
+            self.byte_budget.take(price);
             match known {
                 Some(place) => asks[place].1.push(due),
                 None => asks.push((keeper, vec![due])),
@@ -178,30 +177,30 @@
             .collect()
     }
 
-    /// Takes in a keeper's answer.
+    /// Applies a keeper's grant.
     pub fn on_grant(&mut self, from: id::Host, grant: &Grant, now: Instant) {
-        let is_ours = |open: &Open| {
-            open.keeper == from
-                && open.limits.len() == grant.parts.len()
-                && now < open.at + ANSWER_TIME
+        let is_ours = |pending: &PendingAsk| {
+            pending.keeper == from
+                && pending.limits.len() == grant.parts.len()
+                && now < pending.at + ANSWER_TIMEOUT
         };
-        if !self.open.get(&grant.round).is_some_and(is_ours) {
+        if !self.pending.get(&grant.round).is_some_and(is_ours) {
             return;
         }
-        let Some(open) = self.open.remove(&grant.round) else {
+        let Some(pending) = self.pending.remove(&grant.round) else {
             return;
         };
         let hosts = self.hosts();
-        for ((key, limit_kind), part) in open.limits.iter().zip(&grant.parts) {
+        for ((key, limit_kind), part) in pending.limits.iter().zip(&grant.parts) {
             if let Some(account) = self.accounts.get_mut(key) {
-                account.fill(hosts, now);
+                account.refill(hosts, now);
                 let claim = &mut account.claims[*limit_kind as usize];
-                self.is_urgent |= claim.answer(grant.round, *part, now);
+                self.is_urgent |= claim.on_answer(grant.round, *part, now);
             }
         }
     }
 
-    /// Takes in that a keeper wants to be asked again.
+    /// Applies a keeper's recall, a request to be asked again.
     pub fn on_recall(&mut self, from: id::Host, recall: &Recall, now: Instant) {
         for limit in &recall.limits {
             let Some((key, limit_kind)) = scope::parts(*limit) else {
@@ -211,29 +210,29 @@
                 continue;
             }
             if let Some(account) = self.accounts.get_mut(&key) {
-                self.is_urgent |= account.claims[limit_kind as usize].recall(now);
+                self.is_urgent |= account.claims[limit_kind as usize].on_recall(now);
             }
         }
     }
 
-    /// What of a limit this host may use now; `None` if it is not known here.
+    /// Returns the share of a limit that this host may use now, or `None` if the scope has no account or no such limit.
     pub fn share(&self, scope: &Scope, limit_kind: LimitKind, now: Instant) -> Option<f64> {
         let account = self.accounts.get(&scope.key)?;
         account.share(limit_kind, self.hosts(), now)
     }
 
-    /// Scopes that are remembered.
+    /// Returns the number of scopes with state.
     pub fn accounts(&self) -> usize {
         self.accounts.len()
     }
 
-    /// Hosts that share the limits; we do even if we are not said to serve yet or any more.
+    /// Returns the number of hosts that share the limits, including this one even if it is not listed as serving.
     fn hosts(&self) -> usize {
         let hosts = self.ring.hosts();
         hosts.len() + usize::from(!hosts.contains(&self.own))
     }
 
-    fn due(&self, now: Instant) -> Vec<Due> {
+    fn due_claims(&self, now: Instant) -> Vec<DueClaim> {
         let hosts = self.hosts();
         let mut due = Vec::new();
         for (key, account) in &self.accounts {
@@ -241,12 +240,12 @@
                 let Some(most) = limit_kind.of(&account.limits) else {
                     continue;
                 };
-                let demand = account.wanted(limit_kind, hosts, now);
+                let demand = account.reported_demand(limit_kind, hosts, now);
                 let claim = &account.claims[limit_kind as usize];
                 if !claim.is_due(demand, most.into(), hosts, now) {
                     continue;
                 }
-                due.push(Due {
+                due.push(DueClaim {
                     key: *key,
                     limit_kind,
                     most,
@@ -257,37 +256,37 @@
         due
     }
 
-    fn ask(&mut self, keeper: id::Host, due: &[Due], now: Instant) -> Ask {
+    fn ask(&mut self, keeper: id::Host, due: &[DueClaim], now: Instant) -> Ask {
         self.round = self.round.wrapping_add(1);
         let round = self.round;
         let claims = due.iter().filter_map(|due| {
             let account = self.accounts.get_mut(&due.key)?;
             let claim = &mut account.claims[due.limit_kind as usize];
-            claim.ask(round, due.demand, due.most.into(), now);
-            Some(Told {
+            claim.record_ask(round, due.demand, due.most.into(), now);
+            Some(ClaimFrame {
                 limit: scope::limit(due.key, due.limit_kind),
                 most: due.most,
                 demand_millis: millis(due.demand),
-                held_millis: millis(claim.held(now)),
+                held_millis: millis(claim.granted(now)),
             })
         });
         let claims = claims.collect();
-        let open = Open {
+        let pending = PendingAsk {
             keeper,
             at: now,
             limits: due.iter().map(|due| (due.key, due.limit_kind)).collect(),
         };
-        self.open.insert(round, open);
+        self.pending.insert(round, pending);
         Ask { round, claims }
     }
 
-    /// Forgets what would be no different if it were made anew.
-    fn tidy(&mut self, now: Instant) {
-        self.open.retain(|_, open| now < open.at + ANSWER_TIME);
-        if now < self.tidy_at {
+    /// Removes expired asks and idle accounts.
+    fn clean_up(&mut self, now: Instant) {
+        self.pending.retain(|_, pending| now < pending.at + ANSWER_TIMEOUT);
+        if now < self.next_cleanup {
             return;
         }
-        self.tidy_at = now + TIDY_EVERY;
+        self.next_cleanup = now + CLEANUP_INTERVAL;
         let hosts = self.hosts();
         self.accounts
             .retain(|_, account| !account.is_idle(hosts, now));
--- a/crates/tinbank-routing/src/limit/ring.rs
+++ b/crates/tinbank-routing/src/limit/ring.rs
@@ -1,4 +1,4 @@
-//! Which host keeps a limit's grants, by rendezvous hash over the hosts that serve. Pure.
+//! Assignment of limits to their keepers, by rendezvous hashing over the serving hosts.
 
 use std::{collections::BTreeSet, hash::Hasher as _, time::Instant};
 
@@ -7,41 +7,40 @@
 
 use super::{claim::MAX_GRANT_TTL, scope};
 
-/// The hosts that serve, now and lately.
+/// The serving hosts, and recent earlier sets of them.
 #[derive(Clone, Debug, Default)]
 pub struct Ring {
     hosts: BTreeSet<id::Host>,
-    /// Earlier sets, and when each was replaced. Grants of their keepers may still hold.
-    past: Vec<(Instant, BTreeSet<id::Host>)>,
+    /// Earlier sets whose keepers' grants may still be valid, and when each was replaced.
+    previous: Vec<(Instant, BTreeSet<id::Host>)>,
 }
 
 impl Ring {
-    /// Takes in which hosts serve. Returns whether that is news.
+    /// Sets the serving hosts. Returns whether they changed.
     pub fn set(&mut self, hosts: BTreeSet<id::Host>, now: Instant) -> bool {
-        self.past
+        self.previous
             .retain(|(replaced, _)| *replaced + MAX_GRANT_TTL > now);
         if self.hosts == hosts {
             return false;
         }
         let before = std::mem::replace(&mut self.hosts, hosts);
-        self.past.push((now, before));
+        self.previous.push((now, before));
         true
     }
 
-    /// The hosts that serve.
     pub fn hosts(&self) -> &BTreeSet<id::Host> {
         &self.hosts
     }
 
-    /// The keeper of a limit.
+    /// Returns the keeper of a limit.
     pub fn keeper(&self, limit: id::Limit) -> Option<id::Host> {
         first(&self.hosts, limit)
     }
 
-    /// When a keeper can be sure that no other keeper's grants of a limit hold any more; `None` if there was no other
-    /// one lately.
-    pub fn sole_from(&self, limit: id::Limit, keeper: id::Host) -> Option<Instant> {
-        let others = self.past.iter().rev();
+    /// Returns the time from which no other keeper's grants of a limit are valid, or `None` if `keeper` has been its only recent
+    /// keeper.
+    pub fn exclusive_from(&self, limit: id::Limit, keeper: id::Host) -> Option<Instant> {
+        let others = self.previous.iter().rev();
         let mut others = others.filter(|(_, hosts)| first(hosts, limit) != Some(keeper));
         others.next().map(|(replaced, _)| *replaced + MAX_GRANT_TTL)
     }
--- a/crates/tinbank-routing/src/limit/scope.rs
+++ b/crates/tinbank-routing/src/limit/scope.rs
@@ -1,4 +1,4 @@
-//! What a limit is about, and the ids of limits on the wire. Pure.
+//! Scopes of limits, and the ids of limits on the wire.
 
 use std::hash::Hasher as _;
 
@@ -6,22 +6,21 @@
 use tinbank_base::id;
 use tinbank_configuration::limit::Online;
 
-/// Which limit of a scope.
+/// Kind of a limit of a scope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum LimitKind {
-    /// Requests a second.
+    /// Requests per second.
     Requests,
-    /// Tokens a second.
+    /// Tokens per second.
     Tokens,
-    /// Requests at once.
+    /// Concurrent requests.
     Concurrency,
 }
 
 impl LimitKind {
-    /// All of them.
     pub const ALL: [Self; 3] = [Self::Requests, Self::Tokens, Self::Concurrency];
 
-    /// The limit of this kind.
+    /// Returns the limit of this kind.
     pub fn of(self, limits: &Online) -> Option<u32> {
         match self {
             Self::Requests => limits.requests_per_second,
@@ -31,44 +30,38 @@
     }
 }
 
-/// What of a customer is limited.
+/// The requests of a customer that a scope covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Subject<'a> {
     /// All its online requests.
     Customer,
-    /// Those to one of its services.
+    /// Requests to one of its services.
     Service(&'a str),
-    /// Those of one of its streams.
+    /// Requests of one of its streams.
     Stream(&'a str),
 }
 
-/// What kind of thing a scope is, for the refusal.
+/// Kind of a scope, for refusals.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Kind {
-    /// The customer.
     Customer,
-    /// A service.
     Service,
-    /// A stream.
     Stream,
 }
 
-/// A customer, or one of its services or streams, with its limits. A request is in several.
+/// A customer, or one of its services or streams, with its limits. A request may belong to several scopes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Scope {
-    /// Its key, the same on all hosts.
+    /// Key of the scope, the same on all hosts.
     pub key: id::Limit,
-    /// What it is.
     pub kind: Kind,
-    /// Its limits.
     pub limits: Online,
 }
 
-/// Low bits of an id that tell the limits of one scope apart, which share a keeper and so a frame.
+/// Number of low bits of an id that hold the [`LimitKind`]. Limits of one scope share a keeper, and so a frame.
 const WHICH_BITS: u32 = 2;
 
 impl Scope {
-    /// A scope of a customer.
     pub fn new(customer: &str, subject: Subject<'_>, limits: Online) -> Self {
         let (kind, name) = match subject {
             Subject::Customer => (Kind::Customer, ""),
@@ -87,18 +80,18 @@
         }
     }
 
-    /// Whether it limits nothing.
+    /// Returns whether the scope has no limits.
     pub fn is_empty(&self) -> bool {
         self.limits == Online::default()
     }
 }
 
-/// The id of a limit of a scope.
+/// Returns the id of a limit of a scope.
 pub fn limit(key: id::Limit, limit_kind: LimitKind) -> id::Limit {
     key | limit_kind as u64
 }
 
-/// The scope's key and the limit that an id names; `None` if it names none.
+/// Returns the key of the scope and the kind of a limit, or `None` if the id is invalid.
 pub fn parts(limit: id::Limit) -> Option<(id::Limit, LimitKind)> {
     let limit_kind = LimitKind::ALL
         .into_iter()
@@ -106,7 +99,7 @@
     Some((key(limit), limit_kind?))
 }
 
-/// The key of the scope that a limit belongs to.
+/// Returns the key of the scope that a limit belongs to.
 pub fn key(limit: id::Limit) -> id::Limit {
     limit >> WHICH_BITS << WHICH_BITS
 }
--- a/crates/tinbank-routing/src/limit/share.rs
+++ b/crates/tinbank-routing/src/limit/share.rs
@@ -1,47 +1,47 @@
-//! How much of a limit one entry host may use. Pure.
+//! Share of a limit that one entry host may use.
 //!
-//! A small part of a limit is split evenly over the hosts; the rest, the *pool*, is granted by the limit's keeper to the
-//! hosts with demand. A host without a grant has an even part of the whole. See `docs/design/limits.md` for the bound.
+//! A small part of a limit, the *base share*, is split evenly among the hosts. The limit's keeper grants the rest, the *pool*, to
+//! hosts with demand. A host whose keeper does not answer uses an even share of the whole limit. See `docs/design/limits.md` for the bound.
 
-/// Part of a limit that is split evenly, in per cent, so that a host with hardly any demand need not ask.
-pub const FLOOR_PERCENT: f64 = 2.0;
+/// Part of a limit that is split evenly among the hosts, in per cent, so that hosts with little demand need no grant.
+pub const BASE_SHARE_PERCENT: f64 = 2.0;
 
-/// What each host has besides its grant.
-pub fn floor(limit: f64, hosts: usize) -> f64 {
-    even(limit, hosts) * FLOOR_PERCENT / 100.0
+/// Returns the share that each host has in addition to its grant.
+pub fn base_share(limit: f64, hosts: usize) -> f64 {
+    even_share(limit, hosts) * BASE_SHARE_PERCENT / 100.0
 }
 
-/// What a host without a grant has.
-pub fn even(limit: f64, hosts: usize) -> f64 {
+/// Returns the share of a host whose keeper does not answer.
+pub fn even_share(limit: f64, hosts: usize) -> f64 {
     limit / hosts.max(1) as f64
 }
 
-/// What the keeper grants, of all hosts together.
+/// Returns the part of the limit that the keeper grants to all hosts together.
 pub fn pool(limit: f64) -> f64 {
-    limit * (100.0 - FLOOR_PERCENT) / 100.0
+    limit * (100.0 - BASE_SHARE_PERCENT) / 100.0
 }
 
-/// Demand on one limit, as its keeper knows it.
+/// Demand for one limit, as known to its keeper.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
-    /// Of the host that is granted something.
+    /// Demand of the host that gets the grant.
     pub own: f64,
-    /// Of all others that have asked.
+    /// Demand of all other hosts with claims.
     pub others: f64,
-    /// How many have asked, this one included.
-    pub asking: usize,
-    /// How many hosts there are.
+    /// Number of hosts with claims, including this one.
+    pub claimants: usize,
+    /// Number of hosts that share the limit.
     pub hosts: usize,
 }
 
-/// The part of the pool that a host should have: its demand and a part of what is left, so that it can grow until it
-/// asks again; in proportion to its demand if the pool is too small for all.
+/// Returns the part of the pool that a host should get: its demand and a part of the remainder, as room for growth until its next
+/// claim, or a part in proportion to its demand if the pool is too small for all.
 pub fn target(pool: f64, demand: Demand) -> f64 {
     let total = demand.own + demand.others;
     if total > pool {
         return pool * demand.own / total;
     }
-    // One more than ask now, so that something is left for the next one to come.
-    let heads = (demand.asking + 1).min(demand.hosts.max(1));
-    demand.own + (pool - total) / heads as f64
+    // Reserves a part for the next host with demand.
+    let sharers = (demand.claimants + 1).min(demand.hosts.max(1));
+    demand.own + (pool - total) / sharers as f64
 }
--- a/crates/tinbank-routing/tests/limits/cost.rs
+++ b/crates/tinbank-routing/tests/limits/cost.rs
@@ -1,4 +1,4 @@
-//! What the exchange costs a host at the target's size.
+//! Network cost per host of the messages about limits, at the size of the target deployment.
 
 use std::collections::VecDeque;
 
@@ -9,20 +9,20 @@
 
 use super::fleet::{Fleet, scope};
 
-/// Bytes a second that the exchange may cost a host; see `docs/design/limits.md`.
+/// Byte budget of one host per second; see `docs/design/limits.md`.
 const BYTES_PER_HOST: f64 = 900.0;
-/// Steps of a fleet in a second.
+/// Simulation steps per second.
 const STEPS: u64 = 100;
-/// Steps that a request lasts.
-const LASTS: u64 = 200;
+/// Duration of a request in steps.
+const REQUEST_STEPS: u64 = 200;
 
-/// How requests are spread over customers.
+/// Distribution of requests over customers.
 #[derive(Clone, Copy, Debug)]
 enum Spread {
     Even,
-    /// Half of them are of one customer, with this limit.
+    /// Half of the requests are of one customer with this limit.
     Hot(u32),
-    /// Evenly, and requests at once are limited too.
+    /// Even, with a limit of concurrent requests in addition.
     AtOnce,
 }
 
@@ -34,13 +34,13 @@
     target_at_once = { 370, 13_000, 1_100, Spread::AtOnce },
     target_hot = { 370, 13_000, 1_100, Spread::Hot(300) },
 )]
-fn the_exchange_stays_within_its_bytes(
+fn exchange_stays_within_byte_budget(
     hosts: u32,
     customers: usize,
     per_second: u32,
     spread: Spread,
 ) {
-    const WARM: u64 = 8;
+    const WARM_UP_SECONDS: u64 = 8;
     const SECONDS: u64 = 8;
     let mut fleet = Fleet::new(hosts, 11);
     let mut random = SmallRng::seed_from_u64(12);
@@ -53,9 +53,9 @@
         }
     }
     let mut running = VecDeque::new();
-    let (mut asked, mut let_in) = (0_u32, 0_u32);
-    for step in 0..(WARM + SECONDS) * STEPS {
-        if step == WARM * STEPS {
+    let (mut asked, mut admitted) = (0_u32, 0_u32);
+    for step in 0..(WARM_UP_SECONDS + SECONDS) * STEPS {
+        if step == WARM_UP_SECONDS * STEPS {
             (fleet.bytes, fleet.frames) = (0, 0);
         }
         fleet.step();
@@ -68,8 +68,8 @@
             let host = random.random_range(0..hosts) as usize;
             asked += 1;
             if fleet.begin(host, &[scope]) {
-                let_in += 1;
-                running.push_back((step + LASTS, host, scope));
+                admitted += 1;
+                running.push_back((step + REQUEST_STEPS, host, scope));
             }
         }
         while let Some((_, host, scope)) = running.pop_front_if(|(until, ..)| *until <= step) {
@@ -86,7 +86,7 @@
         per_host(fleet.frames),
         fleet.largest,
         accounts / hosts as usize,
-        f64::from(let_in) / f64::from(asked),
+        f64::from(admitted) / f64::from(asked),
     );
     assert!(per_host(fleet.bytes) < BYTES_PER_HOST);
     assert!(fleet.largest < MAX_BYTES);
--- a/crates/tinbank-routing/tests/limits/fleet.rs
+++ b/crates/tinbank-routing/tests/limits/fleet.rs
@@ -1,4 +1,4 @@
-//! Hosts that exchange asks and grants over a network with delays and losses, in virtual time.
+//! Simulation of hosts that exchange asks and grants over a network with delay and loss, in virtual time.
 
 use std::{
     collections::BTreeSet,
@@ -16,67 +16,67 @@
 use tinbank_routing::limit::{Keeper, Limiter, Scope, claim::MAX_GRANT_TTL, scope::Subject};
 
 pub const STEP: Duration = Duration::from_millis(10);
-/// Steps between two looks at what has to be asked.
-const LOOK: u64 = 50;
+/// Steps between two asks of a host.
+const ASK_INTERVAL_STEPS: u64 = 50;
 
 pub struct Host {
     pub limiter: Limiter,
     pub keeper: Keeper,
     pub is_alive: bool,
-    pub let_in: u32,
+    pub admitted: u32,
 }
 
 pub struct Fleet {
     pub hosts: Vec<Host>,
     pub now: Instant,
-    /// Longest time that a frame is under way.
+    /// Longest delay of a frame.
     pub delay: Duration,
-    /// Part of the frames that is lost.
-    pub loss: f64,
-    /// Bytes of all frames sent.
+    /// Fraction of frames that are lost.
+    pub loss_rate: f64,
+    /// Total bytes of all frames sent.
     pub bytes: u64,
     pub frames: u64,
     pub largest: usize,
     random: SmallRng,
-    under_way: Vec<(Instant, id::Host, id::Host, Message)>,
+    in_flight: Vec<(Instant, id::Host, id::Host, Message)>,
     steps: u64,
 }
 
 impl Fleet {
-    /// Hosts that have known each other for so long that no earlier keeper's grants may hold.
+    /// Creates hosts that have known each other long enough that no earlier keeper's grants are valid.
     pub fn new(size: u32, seed: u64) -> Self {
         let mut fleet = Self::starting(size, seed);
         fleet.now += MAX_GRANT_TTL;
         fleet
     }
 
-    /// Hosts that have just heard of each other.
+    /// Creates hosts that have just discovered each other.
     pub fn starting(size: u32, seed: u64) -> Self {
         let now = Instant::now();
         let host = |number| Host {
             limiter: Limiter::new(number, now),
             keeper: Keeper::new(writer(number), now),
             is_alive: true,
-            let_in: 0,
+            admitted: 0,
         };
         let mut fleet = Self {
             hosts: (0..size).map(host).collect(),
             now,
             delay: Duration::from_millis(5),
-            loss: 0.0,
+            loss_rate: 0.0,
             bytes: 0,
             frames: 0,
             largest: 0,
             random: SmallRng::seed_from_u64(seed),
-            under_way: Vec::new(),
+            in_flight: Vec::new(),
             steps: 0,
         };
-        fleet.tell_hosts((0..size).collect());
+        fleet.set_hosts_of_all((0..size).collect());
         fleet
     }
 
-    /// All living hosts hear which hosts serve.
-    pub fn tell_hosts(&mut self, serving: BTreeSet<id::Host>) {
+    /// Sets the serving hosts at all hosts that run.
+    pub fn set_hosts_of_all(&mut self, serving: BTreeSet<id::Host>) {
         let now = self.now;
         for host in self.hosts.iter_mut().filter(|host| host.is_alive) {
             host.limiter.set_hosts(serving.clone(), now);
@@ -84,28 +84,28 @@
         }
     }
 
-    /// A host is gone; nobody has noticed.
-    pub fn lose(&mut self, host: id::Host) {
+    /// Stops a host without notice to the others.
+    pub fn stop_host(&mut self, host: id::Host) {
         self.hosts[host as usize].is_alive = false;
     }
 
-    /// One second, in which each host gets so many requests of a scope, evenly over the time. Returns how many were let in.
+    /// Runs one second in which each host gets `arrivals` requests of a scope, evenly spaced. Returns the number admitted.
     pub fn second(&mut self, scope: &Scope, arrivals: &[u32]) -> u32 {
         let steps = (Duration::from_secs(1).as_millis() / STEP.as_millis()) as u32;
-        let mut let_in = 0;
+        let mut admitted = 0;
         for step in 0..steps {
             self.step();
             for (host, count) in arrivals.iter().enumerate() {
                 let due = count * (step + 1) / steps - count * step / steps;
                 for _ in 0..due {
-                    let_in += u32::from(self.request(host, &[*scope]));
+                    admitted += u32::from(self.request(host, &[*scope]));
                 }
             }
         }
-        let_in
+        admitted
     }
 
-    /// A request that ends at once. Returns whether it was let in.
+    /// Runs a request that ends at once. Returns whether it was admitted.
     pub fn request(&mut self, host: usize, scopes: &[Scope]) -> bool {
         let begun = self.begin(host, scopes);
         if begun {
@@ -114,44 +114,44 @@
         begun
     }
 
-    /// A request that goes on. Returns whether it was let in.
+    /// Begins a request. Returns whether it was admitted.
     pub fn begin(&mut self, host: usize, scopes: &[Scope]) -> bool {
         let host = &mut self.hosts[host];
         let begun = host.is_alive && host.limiter.begin(scopes, self.now).is_ok();
-        host.let_in += u32::from(begun);
+        host.admitted += u32::from(begun);
         begun
     }
 
-    /// Lets time pass: frames arrive, and keepers are asked.
+    /// Advances by one step, in which frames arrive and keepers are asked.
     pub fn step(&mut self) {
         self.now += STEP;
         self.steps += 1;
         self.deliver();
         for number in 0..self.hosts.len() {
-            // Each host has a beat of its own.
-            let is_look = (self.steps + number as u64 * 7).is_multiple_of(LOOK);
+            // Offsets the hosts' intervals from each other.
+            let is_ask_time = (self.steps + number as u64 * 7).is_multiple_of(ASK_INTERVAL_STEPS);
             let host = &mut self.hosts[number];
-            if host.is_alive && (is_look || host.limiter.is_urgent()) {
-                if is_look {
+            if host.is_alive && (is_ask_time || host.limiter.is_urgent()) {
+                if is_ask_time {
                     host.keeper.remove_expired(self.now);
                 }
                 let asks = host.limiter.asks(self.now);
                 for (keeper, ask) in asks {
-                    self.tell(number as id::Host, keeper, Message::Ask(ask));
+                    self.deliver_or_send(number as id::Host, keeper, Message::Ask(ask));
                 }
             }
         }
     }
 
-    /// A frame to oneself costs nothing.
-    fn tell(&mut self, from: id::Host, to: id::Host, message: Message) {
+    /// Delivers a message to the own host directly, without cost.
+    fn deliver_or_send(&mut self, from: id::Host, to: id::Host, message: Message) {
         if from == to {
-            return self.take(from, to, message);
+            return self.receive(from, to, message);
         }
         self.send(from, to, message);
     }
 
-    fn take(&mut self, from: id::Host, to: id::Host, message: Message) {
+    fn receive(&mut self, from: id::Host, to: id::Host, message: Message) {
         let now = self.now;
         let host = &mut self.hosts[to as usize];
         if !host.is_alive {
@@ -161,10 +161,10 @@
             Message::Ask(ask) => {
                 let answer = host.keeper.on_ask(writer(from), &ask, now);
                 if let Some(grant) = answer.grant {
-                    self.tell(to, from, Message::Grant(grant));
+                    self.deliver_or_send(to, from, Message::Grant(grant));
                 }
                 for (holder, recall) in answer.recalls {
-                    self.tell(to, holder.process.host, Message::Recall(recall));
+                    self.deliver_or_send(to, holder.process.host, Message::Recall(recall));
                 }
             }
             Message::Grant(grant) => host.limiter.on_grant(from, &grant, now),
@@ -177,22 +177,22 @@
         self.bytes += size as u64;
         self.frames += 1;
         self.largest = self.largest.max(size);
-        if self.random.random_bool(self.loss) {
+        if self.random.random_bool(self.loss_rate) {
             return;
         }
         let delay = self.delay.mul_f64(self.random.random_range(0.1..=1.0));
-        self.under_way.push((self.now + delay, from, to, message));
+        self.in_flight.push((self.now + delay, from, to, message));
     }
 
     fn deliver(&mut self) {
         let now = self.now;
         let mut arrived: Vec<_> = self
-            .under_way
+            .in_flight
             .extract_if(.., |(at, ..)| *at <= now)
             .collect();
         arrived.sort_by_key(|(at, ..)| *at);
         for (_, from, to, message) in arrived {
-            self.take(from, to, message);
+            self.receive(from, to, message);
         }
     }
 }
@@ -207,7 +207,7 @@
     }
 }
 
-/// A scope whose requests a second are limited.
+/// Returns the scope of a customer with a limit of requests per second.
 pub fn scope(customer: &str, requests_per_second: u32) -> Scope {
     let limits = Online {
         requests_per_second: Some(requests_per_second),
@@ -216,7 +216,7 @@
     Scope::new(customer, Subject::Customer, limits)
 }
 
-/// Bytes of a frame as it goes over the network, with its header and MAC.
+/// Returns the size of a frame on the network, with its header and MAC.
 pub fn size(from: id::Host, message: &Message) -> usize {
     const HEADER_BYTES: usize = 2;
     let datagram = Datagram {
--- a/crates/tinbank-routing/tests/limits/main.rs
+++ b/crates/tinbank-routing/tests/limits/main.rs
@@ -1,5 +1,5 @@
-//! Limits over all hosts: the sum stays within its bound with skewed and moving arrival, lags, lost frames, lost keepers
-//! and lost hosts, and skewed arrival reaches the limit.
+//! Limits over all hosts: total admissions stay within their bound under skewed and moving arrivals, delays, lost frames, keepers
+//! and hosts, and skewed arrivals reach the limit.
 
 mod cost;
 mod fleet;
@@ -12,7 +12,7 @@
 use tinbank_routing::limit::{
     Limiter, Scope, LimitKind,
     bucket::{Bucket, Rate},
-    claim::{HOLD, MAX_GRANT_TTL},
+    claim::{GRANT_TTL, MAX_GRANT_TTL},
     ring::Ring,
     scope::{Kind, Subject},
     share::{self, Demand},
@@ -22,49 +22,48 @@
 
 const LIMIT: u32 = 100;
 
-/// The bound of `docs/design/limits.md`: the limit over the time, one second's burst, and one request a host
-/// (two where the limit is below the number of hosts).
+/// Returns the bound of `docs/design/limits.md`: the limit over the time, a burst of one second, and one request per host.
 fn bound(seconds: usize, hosts: u32) -> u32 {
     LIMIT * (seconds as u32 + 1) + hosts
 }
 
-/// What one limiter that sees every request at once would let in, second by second.
-fn naive(seconds: &[Vec<u32>]) -> Vec<u32> {
+/// Returns the requests that a single limiter with global knowledge would admit in each second.
+fn reference_admissions(seconds: &[Vec<u32>]) -> Vec<u32> {
     let rate = Rate {
         per_second: LIMIT.into(),
         burst: LIMIT.into(),
     };
     let start = Instant::now();
     let mut bucket = Bucket::new(rate, start);
-    let mut let_in = Vec::new();
+    let mut admitted = Vec::new();
     for (number, arrivals) in seconds.iter().enumerate() {
         let total: u32 = arrivals.iter().sum();
         let mut count = 0;
         for request in 0..total {
             let at = number as f64 + f64::from(request) / f64::from(total);
-            bucket.fill(rate, start + Duration::from_secs_f64(at));
+            bucket.refill(rate, start + Duration::from_secs_f64(at));
             if bucket.check(1.0, rate).is_ok() {
                 bucket.take(1.0);
                 count += 1;
             }
         }
-        let_in.push(count);
+        admitted.push(count);
     }
-    let_in
+    admitted
 }
 
-/// Runs a fleet and checks every window of seconds against a bound.
-fn check_windows(let_in: &[u32], bound: impl Fn(usize) -> u32) -> Result<(), TestCaseError> {
-    for window in 1..=let_in.len() {
-        for part in let_in.windows(window) {
+/// Checks every window of seconds against a bound.
+fn check_windows(admitted: &[u32], bound: impl Fn(usize) -> u32) -> Result<(), TestCaseError> {
+    for window in 1..=admitted.len() {
+        for part in admitted.windows(window) {
             let sum: u32 = part.iter().sum();
-            prop_assert!(sum <= bound(window), "{sum} in {window} s: {let_in:?}");
+            prop_assert!(sum <= bound(window), "{sum} in {window} s: {admitted:?}");
         }
     }
     Ok(())
 }
 
-/// Seconds of arrivals at four hosts; each second stays for a while, so that shares have time to follow.
+/// Generates arrivals at four hosts per second. Each rate lasts for several seconds, so that shares can follow.
 fn seconds() -> impl Strategy<Value = Vec<Vec<u32>>> {
     let phase = (prop::collection::vec(0_u32..200, 4), 1_usize..5);
     prop::collection::vec(phase, 1..8).prop_map(|phases| {
@@ -79,7 +78,7 @@
     #![proptest_config(property::config(64))]
 
     #[test]
-    fn the_sum_stays_within_the_limit_when_no_frame_is_lost(
+    fn total_stays_within_limit_without_loss(
         seconds in seconds(),
         seed: u64,
         delay in 10_u64..450,
@@ -87,52 +86,52 @@
         let mut fleet = Fleet::new(4, seed);
         fleet.delay = Duration::from_millis(delay);
         let scope = scope("customer", LIMIT);
-        let let_in: Vec<u32> = seconds.iter().map(|arrivals| fleet.second(&scope, arrivals)).collect();
-        check_windows(&let_in, |window| bound(window, 4))?;
+        let admitted: Vec<u32> = seconds.iter().map(|arrivals| fleet.second(&scope, arrivals)).collect();
+        check_windows(&admitted, |window| bound(window, 4))?;
     }
 
     #[test]
-    fn the_sum_stays_within_twice_the_limit_whatever_is_lost(
+    fn total_stays_within_twice_the_limit_under_loss(
         seconds in seconds(),
         seed: u64,
         delay in 10_u64..3_000,
-        loss in 0.0_f64..1.0,
+        loss_rate in 0.0_f64..1.0,
         lost in prop::collection::vec((0_u32..4, 0_usize..20), 0..3),
         noticed in any::<bool>(),
     ) {
         let mut fleet = Fleet::new(4, seed);
         fleet.delay = Duration::from_millis(delay);
-        fleet.loss = loss;
+        fleet.loss_rate = loss_rate;
         let scope = scope("customer", LIMIT);
-        let mut let_in = Vec::new();
+        let mut admitted = Vec::new();
         for (number, arrivals) in seconds.iter().enumerate() {
             for (host, _) in lost.iter().filter(|(_, at)| *at == number) {
-                fleet.lose(*host);
+                fleet.stop_host(*host);
             }
             if noticed && number % 5 == 4 {
                 let alive = (0..4).filter(|host| fleet.hosts[*host as usize].is_alive);
                 let alive = alive.collect();
-                fleet.tell_hosts(alive);
+                fleet.set_hosts_of_all(alive);
             }
-            let_in.push(fleet.second(&scope, arrivals));
+            admitted.push(fleet.second(&scope, arrivals));
         }
-        check_windows(&let_in, |window| 2 * bound(window, 4))?;
+        check_windows(&admitted, |window| 2 * bound(window, 4))?;
     }
 
     #[test]
-    fn a_limit_below_the_number_of_hosts_lets_in_two_requests_a_host_besides(
+    fn limit_below_number_of_hosts_admits_two_extra_requests_per_host(
         arrivals in prop::collection::vec(prop::collection::vec(0_u32..6, 12), 4..16),
         seed: u64,
     ) {
         const SMALL: u32 = 5;
         let mut fleet = Fleet::new(12, seed);
         let scope = scope("customer", SMALL);
-        let let_in: Vec<u32> = arrivals.iter().map(|arrivals| fleet.second(&scope, arrivals)).collect();
-        check_windows(&let_in, |window| SMALL * (window as u32 + 1) + 2 * 12)?;
+        let admitted: Vec<u32> = arrivals.iter().map(|arrivals| fleet.second(&scope, arrivals)).collect();
+        check_windows(&admitted, |window| SMALL * (window as u32 + 1) + 2 * 12)?;
     }
 
     #[test]
-    fn demand_that_stays_gets_nearly_what_a_limiter_with_global_knowledge_would_let_in(
+    fn steady_demand_gets_nearly_what_a_global_limiter_admits(
         arrivals in prop::collection::vec(0_u32..200, 4),
         seed: u64,
     ) {
@@ -140,31 +139,31 @@
         let mut fleet = Fleet::new(4, seed);
         let scope = scope("customer", LIMIT);
         let seconds = vec![arrivals; SETTLE + 10];
-        let let_in: Vec<u32> = seconds.iter().map(|arrivals| fleet.second(&scope, arrivals)).collect();
-        let reached: u32 = let_in[SETTLE..].iter().sum();
-        let most: u32 = naive(&seconds)[SETTLE..].iter().sum();
-        prop_assert!(f64::from(reached) >= 0.95 * f64::from(most), "{reached} of {most}: {let_in:?}");
+        let admitted: Vec<u32> = seconds.iter().map(|arrivals| fleet.second(&scope, arrivals)).collect();
+        let reached: u32 = admitted[SETTLE..].iter().sum();
+        let most: u32 = reference_admissions(&seconds)[SETTLE..].iter().sum();
+        prop_assert!(f64::from(reached) >= 0.95 * f64::from(most), "{reached} of {most}: {admitted:?}");
     }
 
     #[test]
-    fn targets_of_one_view_add_up_to_no_more_than_the_pool(demands in prop::collection::vec(0.0_f64..300.0, 1..40)) {
+    fn targets_add_up_to_pool(demands in prop::collection::vec(0.0_f64..300.0, 1..40)) {
         let total: f64 = demands.iter().sum();
         let pool = share::pool(LIMIT.into());
         let targets = demands.iter().map(|own| share::target(pool, Demand {
             own: *own,
             others: total - own,
-            asking: demands.len(),
+            claimants: demands.len(),
             hosts: demands.len(),
         }));
 
         let sum: f64 = targets.sum();
 
-        // All hosts have asked, so nothing has to be left for others.
+        // All hosts have claims, so nothing is reserved for others.
         prop_assert!((sum - pool).abs() < 1e-6, "{sum}");
     }
 
     #[test]
-    fn a_bucket_lets_in_no_more_than_its_rate_and_its_burst(
+    fn bucket_admits_at_most_rate_plus_burst(
         rate in 1.0_f64..200.0,
         gaps in prop::collection::vec(0_u64..50, 1..400),
     ) {
@@ -172,16 +171,16 @@
         let began = Instant::now();
         let mut now = began;
         let mut bucket = Bucket::new(rate, now);
-        let mut let_in = 0.0;
+        let mut admitted = 0.0;
         for gap in gaps {
             now += Duration::from_millis(gap);
-            bucket.fill(rate, now);
+            bucket.refill(rate, now);
             if bucket.check(1.0, rate).is_ok() {
                 bucket.take(1.0);
-                let_in += 1.0;
+                admitted += 1.0;
             }
             let passed = (now - began).as_secs_f64();
-            prop_assert!(let_in <= rate.burst + passed * rate.per_second + 1e-6);
+            prop_assert!(admitted <= rate.burst + passed * rate.per_second + 1e-6);
         }
     }
 }
@@ -191,26 +190,26 @@
     one_host = { 1 },
     large = { 100 },
 )]
-fn skewed_arrival_reaches_the_limit(hosts: u32) {
+fn skewed_arrivals_reach_limit(hosts: u32) {
     let mut fleet = Fleet::new(hosts, 1);
     let scope = scope("customer", LIMIT);
     let mut skewed = vec![0; hosts as usize];
     skewed[0] = 150;
 
-    let let_in: Vec<u32> = (0..6).map(|_| fleet.second(&scope, &skewed)).collect();
+    let admitted: Vec<u32> = (0..6).map(|_| fleet.second(&scope, &skewed)).collect();
 
     assert!(
-        let_in[0] >= 40,
-        "the first ask is answered at once: {let_in:?}"
+        admitted[0] >= 40,
+        "the first ask is answered at once: {admitted:?}"
     );
     assert!(
-        (97..=101).contains(&let_in[5]),
-        "then it has the limit: {let_in:?}"
+        (97..=101).contains(&admitted[5]),
+        "then it has the limit: {admitted:?}"
     );
 }
 
 #[test]
-fn moving_arrival_takes_its_share_along() {
+fn share_follows_moving_arrivals() {
     let mut fleet = Fleet::new(12, 2);
     let scope = scope("customer", LIMIT);
     let mut arrivals = [0; 12];
@@ -221,14 +220,14 @@
 
     arrivals[0] = 0;
     arrivals[5] = 150;
-    let let_in: Vec<u32> = (0..8).map(|_| fleet.second(&scope, &arrivals)).collect();
+    let admitted: Vec<u32> = (0..8).map(|_| fleet.second(&scope, &arrivals)).collect();
 
-    assert!(let_in.iter().sum::<u32>() <= bound(8, 12), "{let_in:?}");
-    assert!((95..=101).contains(&let_in[7]), "{let_in:?}");
+    assert!(admitted.iter().sum::<u32>() <= bound(8, 12), "{admitted:?}");
+    assert!((95..=101).contains(&admitted[7]), "{admitted:?}");
 }
 
 #[test]
-fn a_lost_keeper_costs_skewed_arrival_until_the_next_one_is_sure() {
+fn lost_keeper_reduces_skewed_arrivals_until_successor_grants() {
     let mut fleet = Fleet::new(4, 3);
     let scope = scope("customer", LIMIT);
     let mut ring = Ring::default();
@@ -241,31 +240,31 @@
         fleet.second(&scope, &arrivals);
     }
 
-    fleet.lose(keeper);
+    fleet.stop_host(keeper);
     let unnoticed: Vec<u32> = (0..5).map(|_| fleet.second(&scope, &arrivals)).collect();
-    fleet.tell_hosts((0..4).filter(|host| *host != keeper).collect());
+    fleet.set_hosts_of_all((0..4).filter(|host| *host != keeper).collect());
     let grace = MAX_GRANT_TTL.as_secs() as usize;
     let waiting: Vec<u32> = (0..grace)
         .map(|_| fleet.second(&scope, &arrivals))
         .collect();
     let after: Vec<u32> = (0..8).map(|_| fleet.second(&scope, &arrivals)).collect();
 
-    // Its grant is still in force, and then an even part.
+    // The grant stays valid at first, then the host uses an even share.
     assert!(
-        unnoticed.iter().all(|let_in| *let_in >= LIMIT / 4),
+        unnoticed.iter().all(|admitted| *admitted >= LIMIT / 4),
         "{unnoticed:?}"
     );
     assert!(
         waiting
             .iter()
-            .all(|let_in| (LIMIT / 4..=LIMIT + 1).contains(let_in)),
+            .all(|admitted| (LIMIT / 4..=LIMIT + 1).contains(admitted)),
         "{waiting:?}"
     );
     assert!(after[7] >= 97, "{after:?}");
 }
 
 #[test]
-fn a_lost_host_s_part_goes_to_the_others_when_its_grant_ends() {
+fn part_of_lost_host_is_reassigned_after_grant_expires() {
     let mut fleet = Fleet::new(3, 4);
     let scope = scope("customer", LIMIT);
     let mut ring = Ring::default();
@@ -276,9 +275,9 @@
         fleet.second(&scope, &[90, 90, 90]);
     }
 
-    fleet.lose(lost);
+    fleet.stop_host(lost);
     let silent = fleet.second(&scope, &[90, 90, 90]);
-    let wait = 2 * HOLD.as_secs();
+    let wait = 2 * GRANT_TTL.as_secs();
     for _ in 0..wait {
         fleet.second(&scope, &[90, 90, 90]);
     }
@@ -289,9 +288,9 @@
 }
 
 #[test]
-fn without_answers_each_host_has_an_even_part() {
+fn hosts_without_answers_use_even_share() {
     let mut fleet = Fleet::new(4, 5);
-    fleet.loss = 1.0;
+    fleet.loss_rate = 1.0;
     let scope = scope("customer", LIMIT);
     let mut ring = Ring::default();
     ring.set((0..4).collect(), fleet.now);
@@ -299,28 +298,28 @@
     for _ in 0..5 {
         fleet.second(&scope, &[200; 4]);
     }
-    let before: Vec<u32> = fleet.hosts.iter().map(|host| host.let_in).collect();
+    let before: Vec<u32> = fleet.hosts.iter().map(|host| host.admitted).collect();
 
     fleet.second(&scope, &[200; 4]);
 
     let hosts = fleet.hosts.iter().enumerate();
     for (number, host) in hosts.filter(|(number, _)| *number != keeper) {
-        assert!((24..=26).contains(&(host.let_in - before[number])));
+        assert!((24..=26).contains(&(host.admitted - before[number])));
     }
 }
 
 #[test]
-fn right_after_a_start_nobody_has_more_than_an_even_part() {
+fn hosts_use_even_share_right_after_start() {
     let mut fleet = Fleet::starting(4, 6);
     let scope = scope("customer", LIMIT);
 
-    let let_in: Vec<u32> = (0..10)
+    let admitted: Vec<u32> = (0..10)
         .map(|_| fleet.second(&scope, &[200, 0, 0, 0]))
         .collect();
 
     assert!(
-        let_in[2..].iter().all(|let_in| (24..=26).contains(let_in)),
-        "{let_in:?}"
+        admitted[2..].iter().all(|admitted| (24..=26).contains(admitted)),
+        "{admitted:?}"
     );
 }
 
@@ -329,7 +328,7 @@
     let mut fleet = Fleet::new(12, 7);
     let scope = scope("customer", LIMIT);
     fleet.second(&scope, &[10; 12]);
-    // Demand is forgotten, and what is left of it told.
+    // Average demand decays, and the last changes are claimed.
     for _ in 0..20 {
         fleet.second(&scope, &[0; 12]);
     }
@@ -341,11 +340,11 @@
 
     assert_eq!(fleet.frames, before);
     assert!(fleet.hosts.iter().all(|host| host.limiter.accounts() == 0));
-    assert!(fleet.hosts.iter().all(|host| host.keeper.asking() == 0));
+    assert!(fleet.hosts.iter().all(|host| host.keeper.claimants() == 0));
 }
 
 #[test]
-fn a_service_s_limit_holds_besides_the_customer_s() {
+fn service_limit_applies_in_addition_to_customer_limit() {
     let mut fleet = Fleet::new(1, 8);
     let customer = scope("customer", LIMIT);
     let small = Online {
@@ -363,34 +362,34 @@
     }
 
     assert!((28..=41).contains(&service_let_in), "{service_let_in}");
-    // What the service refused costs the customer nothing.
+    // Requests refused by the service's limit don't count towards the customer's.
     assert!(others_let_in >= 240, "{others_let_in}");
 }
 
 #[test]
-fn a_quiet_customers_first_requests_at_once_are_let_in_up_to_an_even_part() {
+fn idle_customer_gets_even_share_of_rate_at_once() {
     let customer = scope("customer", LIMIT);
 
-    let let_in = let_in_at_once_among(4, customer);
+    let admitted = count_admitted_at_once(4, customer);
 
-    assert_eq!(let_in, (LIMIT / 4) as usize);
+    assert_eq!(admitted, (LIMIT / 4) as usize);
 }
 
 #[test]
-fn a_quiet_customer_may_have_an_even_part_at_once_before_the_keeper_answers() {
+fn idle_customer_gets_even_share_of_concurrency_before_keeper_answers() {
     let limits = Online {
         online_at_once: Some(LIMIT),
         ..Online::default()
     };
     let customer = Scope::new("customer", Subject::Customer, limits);
 
-    let let_in = let_in_at_once_among(4, customer);
+    let admitted = count_admitted_at_once(4, customer);
 
-    assert_eq!(let_in, (LIMIT / 4) as usize);
+    assert_eq!(admitted, (LIMIT / 4) as usize);
 }
 
 #[test]
-fn a_refusal_names_whose_limit_was_reached() {
+fn refusal_names_reached_limit() {
     let now = Instant::now();
     let customer = scope("customer", LIMIT);
     let limits = Online {
@@ -398,7 +397,7 @@
         ..Online::default()
     };
     let service = Scope::new("customer", Subject::Service("notes"), limits);
-    let mut limiter = alone(now);
+    let mut limiter = single_host_limiter(now);
     limiter.begin(&[customer, service], now).unwrap();
     for _ in 1..LIMIT {
         limiter.begin(&[customer], now).unwrap();
@@ -409,7 +408,7 @@
         .begin(&[customer, service], first.retry_at)
         .unwrap_err();
 
-    // A new account begins with an even part of a second; after that only the service's limit is in the way.
+    // A new account starts with one second's share. After the customer's retry time only the service's limit is reached.
     assert_eq!(
         (first.scope, first.limit_kind),
         (Kind::Customer, LimitKind::Requests)
@@ -418,7 +417,7 @@
 }
 
 #[test]
-fn scopes_of_one_customer_differ() {
+fn scopes_of_one_customer_have_distinct_keys() {
     let of = |subject| Scope::new("customer", subject, Online::default()).key;
     let keys = [
         of(Subject::Customer),
@@ -434,14 +433,14 @@
 }
 
 #[test]
-fn requests_at_once_are_bounded_and_end() {
+fn concurrent_requests_are_bounded() {
     let now = Instant::now();
     let limits = Online {
         online_at_once: Some(3),
         ..Online::default()
     };
     let scopes = [Scope::new("customer", Subject::Customer, limits)];
-    let mut limiter = alone(now);
+    let mut limiter = single_host_limiter(now);
     for _ in 0..3 {
         limiter.begin(&scopes, now).unwrap();
     }
@@ -455,14 +454,14 @@
 }
 
 #[test]
-fn tokens_are_paid_afterwards_and_owed_ones_hold_the_next_request() {
+fn owed_tokens_delay_next_request() {
     let now = Instant::now();
     let limits = Online {
         tokens_per_second: Some(10),
         ..Online::default()
     };
     let scopes = [Scope::new("customer", Subject::Customer, limits)];
-    let mut limiter = alone(now);
+    let mut limiter = single_host_limiter(now);
     limiter.begin(&scopes, now).unwrap();
     limiter.spend(&scopes, 30, now);
     limiter.end(&scopes);
@@ -474,9 +473,8 @@
     assert!(limiter.begin(&scopes, refused.retry_at).is_ok());
 }
 
-/// A limiter that knows no other host, so that the whole limit is its own.
-/// How many of `LIMIT` requests of a customer not heard of before one of so many hosts lets in at once.
-fn let_in_at_once_among(hosts: u32, customer: Scope) -> usize {
+/// Returns how many of `LIMIT` simultaneous requests of a new customer one of `hosts` hosts admits.
+fn count_admitted_at_once(hosts: u32, customer: Scope) -> usize {
     let now = Instant::now();
     let mut limiter = Limiter::new(1, now);
     limiter.set_hosts((1..=hosts).collect(), now);
@@ -485,6 +483,7 @@
         .count()
 }
 
-fn alone(now: Instant) -> Limiter {
+/// Returns a limiter that knows no other host, so that it has the whole limit.
+fn single_host_limiter(now: Instant) -> Limiter {
     Limiter::new(0, now)
 }
