--- a/crates/tinbank-base/src/frame/demand.rs
+++ b/crates/tinbank-base/src/frame/demand.rs
@@ -14,7 +14,7 @@
     #[serde(with = "postcard::fixint::le")]
     pub limit: id::Limit,
     /// Value of the limit in the sender's configuration.
-    pub most: u32,
+    pub limit_value: u32,
     /// Demand at the sender including refused requests, in thousandths.
     pub demand_millis: u32,
     /// Grant that the sender still holds, in thousandths.
@@ -23,7 +23,7 @@
 
 /// The claims of a host to the limits of one keeper.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct ClaimRequest {
     /// Increases with each request of a process. An answer to an earlier request than the latest is dropped.
     pub round: u32,
     pub claims: SmallVec<[Claim; 4]>,
@@ -35,13 +35,13 @@
     /// Granted part of the limit in thousandths, in addition to each host's base share.
     pub millis: u32,
     /// Validity in seconds from when the claim was sent; 0 if nothing is granted.
-    pub holds_s: u16,
+    pub ttl_s: u16,
 }
 
-/// The answer to an [`Ask`].
+/// The answer to a [`ClaimRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// Round of the [`Ask`].
+    /// Round of the [`ClaimRequest`].
     pub round: u32,
     /// Parts in the order of the claims.
     pub parts: SmallVec<[Part; 4]>,
@@ -57,7 +57,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// Sent by a host with demand to a limit's keeper.
-    Ask(Ask),
+    ClaimRequest(ClaimRequest),
     /// Sent by the keeper to the host.
     Grant(Grant),
     /// Sent by the keeper to a host that holds more than its share while another host needs it, or that can get a part that
--- a/crates/tinbank-load/src/slopes/limits.rs
+++ b/crates/tinbank-load/src/slopes/limits.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use tinbank_base::frame::demand::{Ask, Claim};
+use tinbank_base::frame::demand::{ClaimRequest, Claim};
 use tinbank_configuration::limit::Online;
 use tinbank_routing::limit::{Limiter, Scope, scope::Subject};
 
@@ -37,7 +37,7 @@
         let spent = processor_time(
             || limiter.clone(),
             |mut limiter| {
-                std::hint::black_box(limiter.asks(later));
+                std::hint::black_box(limiter.claim_requests(later));
             },
         );
         micros(spent)
@@ -66,11 +66,11 @@
     let points = points(&CLAIMS, |claims| {
         let claim = Claim {
             limit: 1,
-            most: 100_000,
+            limit_value: 100_000,
             demand_millis: 1_500,
             held_millis: 2_500,
         };
-        let ask = Ask {
+        let ask = ClaimRequest {
             round: 100_000,
             claims: std::iter::repeat_n(claim, claims).collect(),
         };
--- a/crates/tinbank-online/src/control/limits.rs
+++ b/crates/tinbank-online/src/control/limits.rs
@@ -48,8 +48,8 @@
 
 /// Asks whatever keepers have to be asked now.
 pub(crate) fn ask_all(ctx: &Context, members: &Members) {
-    for (keeper, ask) in ctx.gate.asks(clock::now()) {
-        send(ctx, members, online(keeper), Message::Ask(ask));
+    for (keeper, ask) in ctx.gate.claim_requests(clock::now()) {
+        send(ctx, members, online(keeper), Message::ClaimRequest(ask));
     }
 }
 
@@ -70,7 +70,7 @@
     }
     let (host, now) = (from.process.host, clock::now());
     match message {
-        Message::Ask(ask) => {
+        Message::ClaimRequest(ask) => {
             let answer = ctx.gate.asked(from, ask, now);
             let members = ctx.directory.members();
             if let Some(grant) = answer.grant {
--- a/crates/tinbank-online/src/gate.rs
+++ b/crates/tinbank-online/src/gate.rs
@@ -7,7 +7,7 @@
 };
 
 use tinbank_base::{
-    frame::demand::{Ask, Grant, Recall},
+    frame::demand::{ClaimRequest, Grant, Recall},
     id,
     outcome::{Code, Failure},
     record::Writer,
@@ -77,14 +77,14 @@
     }
 
     /// What the keepers of limits are to be asked now.
-    pub(crate) fn asks(&self, now: Instant) -> Vec<(id::Host, Ask)> {
+    pub(crate) fn claim_requests(&self, now: Instant) -> Vec<(id::Host, ClaimRequest)> {
         self.keeper().remove_expired(now);
-        self.state().limiter.asks(now)
+        self.state().limiter.claim_requests(now)
     }
 
     /// Takes in what a host asks of the limits that we keep.
-    pub(crate) fn asked(&self, from: Writer, ask: &Ask, now: Instant) -> Answer {
-        self.keeper().on_ask(from, ask, now)
+    pub(crate) fn asked(&self, from: Writer, ask: &ClaimRequest, now: Instant) -> Answer {
+        self.keeper().on_claim_request(from, ask, now)
     }
 
     /// Takes in a keeper's answer.
--- a/crates/tinbank-online/src/run/tests/limits.rs
+++ b/crates/tinbank-online/src/run/tests/limits.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use tinbank_base::{
-    frame::demand::{Ask, Claim, Grant, Message, Part, Recall},
+    frame::demand::{ClaimRequest, Claim, Grant, Message, Part, Recall},
     id,
     outcome::{Code, Ran},
     record::Writer,
@@ -74,12 +74,12 @@
 
     ask_all(&fixture);
     let told = fixture.peers.told();
-    let [Message::Ask(Ask { round, claims })] = &told[..] else {
+    let [Message::ClaimRequest(ClaimRequest { round, claims })] = &told[..] else {
         panic!("one ask: {told:?}");
     };
     let part = Part {
         millis: 80_000,
-        holds_s: 10,
+        ttl_s: 10,
     };
     let parts = [part].into_iter().collect();
     let grant = Message::Grant(Grant {
@@ -92,7 +92,7 @@
     limits::told(&fixture.ctx, writer(OTHER_HOST), &grant);
     tokio::time::advance(Duration::from_millis(500)).await;
 
-    assert_eq!((claims[0].most, claims[0].held_millis), (LIMIT, 0));
+    assert_eq!((claims[0].limit_value, claims[0].held_millis), (LIMIT, 0));
     let even_part = LIMIT as usize / HOSTS;
     assert_eq!((at_first, by_stranger), (even_part, 0));
     assert_eq!(let_in(&fixture, &request), 40);
@@ -120,12 +120,12 @@
     let limit = scope::limit(request.scopes[0].key, LimitKind::Requests);
     let claim = Claim {
         limit,
-        most: LIMIT,
+        limit_value: LIMIT,
         demand_millis: 100_000,
         held_millis: 0,
     };
     let ask = |round| {
-        Message::Ask(Ask {
+        Message::ClaimRequest(ClaimRequest {
             round,
             claims: [claim].into_iter().collect(),
         })
@@ -154,12 +154,12 @@
     let_in(&fixture, &request);
     ask_all(&fixture);
     let told = fixture.peers.told();
-    let [Message::Ask(Ask { round, .. })] = &told[..] else {
+    let [Message::ClaimRequest(ClaimRequest { round, .. })] = &told[..] else {
         panic!("one ask: {told:?}");
     };
     let part = Part {
         millis: 80_000,
-        holds_s: 10,
+        ttl_s: 10,
     };
     let grant = Grant {
         round: *round,
@@ -177,7 +177,7 @@
     ask_all(&fixture);
 
     assert!(before.is_empty(), "{before:?}");
-    assert!(matches!(&fixture.peers.told()[..], [Message::Ask(_)]));
+    assert!(matches!(&fixture.peers.told()[..], [Message::ClaimRequest(_)]));
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/tinbank-peer/tests/requests.rs
+++ b/crates/tinbank-peer/tests/requests.rs
@@ -19,7 +19,7 @@
         Body,
         credit::{self, Load},
         datagram::{VERSION, seal},
-        demand::{self, Ask, Claim},
+        demand::{self, ClaimRequest, Claim},
         request::{Count, MAX_BYTES, Request, Response},
     },
     peer::{Answer, Error, Peers},
@@ -351,15 +351,15 @@
     answerer.serve(fake);
     let claim = Claim {
         limit: u64::MAX - 3,
-        most: 100,
+        limit_value: 100,
         demand_millis: 12_500,
         held_millis: 0,
     };
-    let ask = Ask {
+    let ask = ClaimRequest {
         round: 7,
         claims: [claim].into_iter().collect(),
     };
-    let message = demand::Message::Ask(ask);
+    let message = demand::Message::ClaimRequest(ask);
 
     asker.send_demand(answerer.address(), message.clone());
 
--- a/crates/tinbank-routing/src/limit/account.rs
+++ b/crates/tinbank-routing/src/limit/account.rs
@@ -64,8 +64,8 @@
     }
 
     pub(super) fn share(&self, limit_kind: LimitKind, hosts: usize, now: Instant) -> Option<f64> {
-        let most = limit_kind.of(&self.limits)?;
-        Some(self.claims[limit_kind as usize].share(most.into(), hosts, now))
+        let limit_value = limit_kind.of(&self.limits)?;
+        Some(self.claims[limit_kind as usize].share(limit_value.into(), hosts, now))
     }
 
     /// Returns the demand to claim: 0 while the next request is admitted without a grant.
@@ -84,9 +84,9 @@
     pub(super) fn update_demand(&mut self, hosts: usize, now: Instant) -> bool {
         let mut is_new = false;
         for limit_kind in LimitKind::ALL {
-            if let Some(most) = limit_kind.of(&self.limits) {
+            if let Some(limit_value) = limit_kind.of(&self.limits) {
                 let demand = self.reported_demand(limit_kind, hosts, now);
-                is_new |= self.claims[limit_kind as usize].update_demand(demand, most.into(), hosts, now);
+                is_new |= self.claims[limit_kind as usize].update_demand(demand, limit_value.into(), hosts, now);
             }
         }
         is_new
@@ -113,7 +113,7 @@
     pub(super) fn check(&mut self, hosts: usize, now: Instant) -> Result<(), (LimitKind, Instant)> {
         self.refill(hosts, now);
         let concurrency_share = self.concurrency_share(hosts, now);
-        if concurrency_share.is_some_and(|most| self.running >= most) {
+        if concurrency_share.is_some_and(|limit_value| self.running >= limit_value) {
             self.over_concurrency.add(1.0, now);
             return Err((LimitKind::Concurrency, now + CONCURRENCY_RETRY_AFTER));
         }
@@ -142,13 +142,13 @@
     /// Returns the number of requests that may run concurrently at this host: at least an even share until the keeper has answered,
     /// so that the first requests of an idle customer are admitted, and at least one, for limits below the number of hosts.
     fn concurrency_share(&self, hosts: usize, now: Instant) -> Option<u32> {
-        let most = LimitKind::Concurrency.of(&self.limits)?;
+        let limit_value = LimitKind::Concurrency.of(&self.limits)?;
         let claim = &self.claims[LimitKind::Concurrency as usize];
-        let share = claim.share(most.into(), hosts, now);
+        let share = claim.share(limit_value.into(), hosts, now);
         let is_granted = claim.granted(now) > 0.0;
         let share = match is_granted {
             true => share,
-            false => share.max(share::even_share(most.into(), hosts)),
+            false => share.max(share::even_share(limit_value.into(), hosts)),
         };
         Some((share.floor() as u32).max(1))
     }
--- a/crates/tinbank-routing/src/limit/claim.rs
+++ b/crates/tinbank-routing/src/limit/claim.rs
@@ -140,12 +140,12 @@
         let Some(last_ask) = self.last_ask.filter(|last_ask| last_ask.round == round) else {
             return false;
         };
-        if part.holds_s == 0 {
+        if part.ttl_s == 0 {
             self.unanswered = MAX_UNANSWERED;
             return false;
         }
         self.unanswered = 0;
-        let holds = Duration::from_secs(part.holds_s.into()).min(MAX_GRANT_TTL);
+        let holds = Duration::from_secs(part.ttl_s.into()).min(MAX_GRANT_TTL);
         let amount = from_millis(part.millis);
         // The keeper can reassign the difference only after the next ask confirms the lower grant.
         let is_lower = |grant: Grant| amount < grant.amount * (1.0 - CHANGE_OF_LIMIT);
--- a/crates/tinbank-routing/src/limit/keeper.rs
+++ b/crates/tinbank-routing/src/limit/keeper.rs
@@ -7,7 +7,7 @@
 
 use smallvec::SmallVec;
 use tinbank_base::{
-    frame::demand::{Ask, Claim, Grant, Part, Recall},
+    frame::demand::{ClaimRequest, Claim, Grant, Part, Recall},
     id,
     record::Writer,
 };
@@ -58,7 +58,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Claimant {
     round: u32,
-    most: u32,
+    limit_value: u32,
     demand: f64,
     /// Largest amount that may be valid at the host: the larger of what it reported and what it was granted since.
     outstanding: f64,
@@ -87,7 +87,7 @@
     }
 
     /// Handles an ask.
-    pub fn on_ask(&mut self, from: Writer, ask: &Ask, now: Instant) -> Answer {
+    pub fn on_claim_request(&mut self, from: Writer, ask: &ClaimRequest, now: Instant) -> Answer {
         let own = self.own.process.host;
         let keeps = |claim: &Claim| self.ring.keeper(claim.limit) == Some(own);
         if !ask.claims.iter().all(keeps) {
@@ -118,7 +118,7 @@
     }
 
     /// Returns the recalls that an ask makes necessary.
-    fn recalls(&mut self, from: Writer, ask: &Ask, now: Instant) -> Vec<(Writer, Recall)> {
+    fn recalls(&mut self, from: Writer, ask: &ClaimRequest, now: Instant) -> Vec<(Writer, Recall)> {
         let hosts = self.ring.hosts().len();
         let mut recalls: BTreeMap<Writer, Recall> = BTreeMap::new();
         for claim in &ask.claims {
@@ -156,7 +156,7 @@
         self.limits.values().map(|state| state.claimants.len()).sum()
     }
 
-    fn may_answer(&mut self, from: Writer, ask: &Ask, now: Instant) -> bool {
+    fn may_answer(&mut self, from: Writer, ask: &ClaimRequest, now: Instant) -> bool {
         if from == self.own {
             return true;
         }
@@ -193,7 +193,7 @@
         let held_until = known.map_or(unknown_until, |known| known.until);
         let claimant = Claimant {
             round,
-            most: claim.most,
+            limit_value: claim.limit_value,
             demand: from_millis(claim.demand_millis),
             outstanding: from_millis(claim.held_millis),
             until: held_until.max(now + GRANT_TTL),
@@ -203,8 +203,8 @@
     }
 
     fn pool(&self) -> f64 {
-        let most = self.claimants.values().map(|claimant| claimant.most).min();
-        share::pool(most.unwrap_or(0).into())
+        let limit_value = self.claimants.values().map(|claimant| claimant.limit_value).min();
+        share::pool(limit_value.unwrap_or(0).into())
     }
 
     /// Returns the amount that a host should get.
@@ -280,7 +280,7 @@
             false => {
                 return Some(Part {
                     millis: 0,
-                    holds_s: 0,
+                    ttl_s: 0,
                 });
             }
         };
@@ -297,7 +297,7 @@
         entry.until = entry.until.max(now + ttl);
         Some(Part {
             millis,
-            holds_s: u16::try_from(ttl.as_secs()).unwrap_or(u16::MAX),
+            ttl_s: u16::try_from(ttl.as_secs()).unwrap_or(u16::MAX),
         })
     }
 }
--- a/crates/tinbank-routing/src/limit/limiter.rs
+++ b/crates/tinbank-routing/src/limit/limiter.rs
@@ -6,7 +6,7 @@
 };
 
 use tinbank_base::{
-    frame::demand::{Ask, Claim as ClaimFrame, Grant, Recall},
+    frame::demand::{ClaimRequest, Claim as ClaimFrame, Grant, Recall},
     id,
 };
 
@@ -59,7 +59,7 @@
 struct DueClaim {
     key: id::Limit,
     limit_kind: LimitKind,
-    most: u32,
+    limit_value: u32,
     demand: f64,
 }
 
@@ -140,7 +140,7 @@
 
     /// Returns the asks to send to keepers now, those with the highest demand relative to the limit first, within the byte budget.
     /// Call it about twice per second, and when it [is urgent](Self::is_urgent).
-    pub fn asks(&mut self, now: Instant) -> Vec<(id::Host, Ask)> {
+    pub fn claim_requests(&mut self, now: Instant) -> Vec<(id::Host, ClaimRequest)> {
         self.is_urgent = false;
         self.clean_up(now);
         let hosts = self.hosts();
@@ -148,10 +148,10 @@
             account.update_demand(hosts, now);
         }
         let mut due = self.due_claims(now);
-        let pressure = |due: &DueClaim| due.demand / f64::from(due.most);
+        let pressure = |due: &DueClaim| due.demand / f64::from(due.limit_value);
         due.sort_by(|a, b| pressure(b).total_cmp(&pressure(a)));
         self.byte_budget.refill(budget(hosts), now);
-        let mut asks: Vec<(id::Host, Vec<DueClaim>)> = Vec::new();
+        let mut claim_requests: Vec<(id::Host, Vec<DueClaim>)> = Vec::new();
         for due in due {
             if self.byte_budget.check(CLAIM_BYTES, budget(hosts)).is_err() {
                 break;
@@ -159,20 +159,20 @@
             let Some(keeper) = self.ring.keeper(due.key) else {
                 break;
             };
-            let known = asks.iter().position(|(known, _)| *known == keeper);
+            let known = claim_requests.iter().position(|(known, _)| *known == keeper);
             let frame = if known.is_some() { 0.0 } else { FRAME_BYTES };
             let price = frame + CLAIM_BYTES;
-            let is_full = known.is_some_and(|place| asks[place].1.len() >= MAX_CLAIMS);
+            let is_full = known.is_some_and(|place| claim_requests[place].1.len() >= MAX_CLAIMS);
             if is_full || self.byte_budget.check(price, budget(hosts)).is_err() {
                 continue;
             }
             self.byte_budget.take(price);
             match known {
-                Some(place) => asks[place].1.push(due),
-                None => asks.push((keeper, vec![due])),
+                Some(place) => claim_requests[place].1.push(due),
+                None => claim_requests.push((keeper, vec![due])),
             }
         }
-        asks.into_iter()
+        claim_requests.into_iter()
             .map(|(keeper, due)| (keeper, self.ask(keeper, &due, now)))
             .collect()
     }
@@ -237,18 +237,18 @@
         let mut due = Vec::new();
         for (key, account) in &self.accounts {
             for limit_kind in LimitKind::ALL {
-                let Some(most) = limit_kind.of(&account.limits) else {
+                let Some(limit_value) = limit_kind.of(&account.limits) else {
                     continue;
                 };
                 let demand = account.reported_demand(limit_kind, hosts, now);
                 let claim = &account.claims[limit_kind as usize];
-                if !claim.is_due(demand, most.into(), hosts, now) {
+                if !claim.is_due(demand, limit_value.into(), hosts, now) {
                     continue;
                 }
                 due.push(DueClaim {
                     key: *key,
                     limit_kind,
-                    most,
+                    limit_value,
                     demand,
                 });
             }
@@ -256,16 +256,16 @@
         due
     }
 
-    fn ask(&mut self, keeper: id::Host, due: &[DueClaim], now: Instant) -> Ask {
+    fn ask(&mut self, keeper: id::Host, due: &[DueClaim], now: Instant) -> ClaimRequest {
         self.round = self.round.wrapping_add(1);
         let round = self.round;
         let claims = due.iter().filter_map(|due| {
             let account = self.accounts.get_mut(&due.key)?;
             let claim = &mut account.claims[due.limit_kind as usize];
-            claim.record_ask(round, due.demand, due.most.into(), now);
+            claim.record_ask(round, due.demand, due.limit_value.into(), now);
             Some(ClaimFrame {
                 limit: scope::limit(due.key, due.limit_kind),
-                most: due.most,
+                limit_value: due.limit_value,
                 demand_millis: millis(due.demand),
                 held_millis: millis(claim.granted(now)),
             })
@@ -277,7 +277,7 @@
             limits: due.iter().map(|due| (due.key, due.limit_kind)).collect(),
         };
         self.pending.insert(round, pending);
-        Ask { round, claims }
+        ClaimRequest { round, claims }
     }
 
     /// Removes expired asks and idle accounts.
--- a/crates/tinbank-routing/tests/limits/fleet.rs
+++ b/crates/tinbank-routing/tests/limits/fleet.rs
@@ -135,9 +135,9 @@
                 if is_ask_time {
                     host.keeper.remove_expired(self.now);
                 }
-                let asks = host.limiter.asks(self.now);
-                for (keeper, ask) in asks {
-                    self.deliver_or_send(number as id::Host, keeper, Message::Ask(ask));
+                let claim_requests = host.limiter.claim_requests(self.now);
+                for (keeper, ask) in claim_requests {
+                    self.deliver_or_send(number as id::Host, keeper, Message::ClaimRequest(ask));
                 }
             }
         }
@@ -158,8 +158,8 @@
             return;
         }
         match message {
-            Message::Ask(ask) => {
-                let answer = host.keeper.on_ask(writer(from), &ask, now);
+            Message::ClaimRequest(ask) => {
+                let answer = host.keeper.on_claim_request(writer(from), &ask, now);
                 if let Some(grant) = answer.grant {
                     self.deliver_or_send(to, from, Message::Grant(grant));
                 }
