--- a/crates/tinbank-admission/src/controller.rs
+++ b/crates/tinbank-admission/src/controller.rs
@@ -9,7 +9,7 @@
 };
 
 use tinbank_base::{
-    frame::credit::{Grant, Load, Wish},
+    frame::credit::{Grant, Load, CreditRequest},
     id,
 };
 
@@ -87,9 +87,9 @@
         load: Load,
     },
     /// A batch process requests credits.
-    Wish {
+    CreditRequest {
         from: id::Process,
-        wish: Wish,
+        request: CreditRequest,
     },
     /// The rank of this process for an engine changed.
     Rank {
@@ -189,7 +189,7 @@
         match event {
             Event::Tick => self.tick(now, &mut actions),
             Event::Load { from, load } => self.on_load(from, load, now, &mut actions),
-            Event::Wish { from, wish } => self.on_wish(from, wish, now),
+            Event::CreditRequest { from, request } => self.on_wish(from, request, now),
             Event::Rank { upstream, rank } => self.set_rank(upstream, rank, now),
             Event::Engines(engines) => self.set_engines(&engines, now),
             Event::Shares(shares) => self.weights = shares,
@@ -261,19 +261,19 @@
         }
     }
 
-    fn on_wish(&mut self, from: id::Process, wish: Wish, now: Instant) {
-        let Some(state) = self.engines.get_mut(&wish.upstream) else {
+    fn on_wish(&mut self, from: id::Process, request: CreditRequest, now: Instant) {
+        let Some(state) = self.engines.get_mut(&request.upstream) else {
             return;
         };
         let allocation = Allocation {
-            wanted: wish.wanted,
-            due: now + Duration::from_millis(wish.due_in_ms.into()),
+            wanted: request.wanted,
+            due: now + Duration::from_millis(request.due_in_ms.into()),
             expires: now + WISH_TTL,
             credits: 0,
         };
         let claimant = Claimant {
             holder: from,
-            customer: wish.customer,
+            customer: request.customer,
         };
         state.allocations.apply_wish(claimant, allocation);
     }
@@ -395,7 +395,7 @@
                 upstream,
                 round: *round,
                 credits,
-                holds_ms: GRANT_TTL.as_millis() as u16,
+                ttl_ms: GRANT_TTL.as_millis() as u16,
             };
             actions.push(Action::Grant { to: process, grant });
         }
@@ -415,7 +415,7 @@
                 upstream,
                 round: *round,
                 credits: budget,
-                holds_ms: WITHDRAWAL_TTL.as_millis() as u16,
+                ttl_ms: WITHDRAWAL_TTL.as_millis() as u16,
             };
             actions.push(Action::Withdraw { to, grant });
         }
--- a/crates/tinbank-admission/src/holder.rs
+++ b/crates/tinbank-admission/src/holder.rs
@@ -114,7 +114,7 @@
         }
         state.grant = Some(Limit {
             credits,
-            until: now + Duration::from_millis(grant.holds_ms.into()),
+            until: now + Duration::from_millis(grant.ttl_ms.into()),
         });
         self.cancel_excess(now)
     }
@@ -130,7 +130,7 @@
         }
         state.cap = Some(Limit {
             credits: grant.credits,
-            until: now + Duration::from_millis(grant.holds_ms.into()),
+            until: now + Duration::from_millis(grant.ttl_ms.into()),
         });
         self.cancel_excess(now)
     }
--- a/crates/tinbank-admission/src/service.rs
+++ b/crates/tinbank-admission/src/service.rs
@@ -8,7 +8,7 @@
 };
 
 use tinbank_base::{
-    frame::credit::{Grant, Message, Wish},
+    frame::credit::{Grant, Message, CreditRequest},
     id,
     peer::{Directory, Members, Peers},
     record::Writer,
@@ -133,7 +133,7 @@
         })
     }
 
-    fn wish(
+    fn request_credits(
         &self,
         upstream: id::Upstream,
         customer: &str,
@@ -214,10 +214,10 @@
                     self.control_engines(controller::Event::Load { from, load }, now);
                 }
             }
-            Message::Wish(wishes) => {
-                for wish in wishes {
+            Message::CreditRequest(wishes) => {
+                for request in wishes {
                     let from = from.process;
-                    self.control_engines(controller::Event::Wish { from, wish }, now);
+                    self.control_engines(controller::Event::CreditRequest { from, request }, now);
                 }
             }
             Message::Grant(grants) => {
@@ -344,22 +344,22 @@
         }
     }
 
-    fn send_wishes(&mut self, wishes: Vec<Wish>, now: Instant) {
-        for wish in wishes {
-            let Some(controllers) = self.controllers.get(&wish.upstream).copied() else {
+    fn send_wishes(&mut self, wishes: Vec<CreditRequest>, now: Instant) {
+        for request in wishes {
+            let Some(controllers) = self.controllers.get(&request.upstream).copied() else {
                 continue;
             };
             for (process, address) in [controllers.first, controllers.second]
                 .into_iter()
                 .flatten()
             {
-                let wish = wish.clone();
+                let request = request.clone();
                 if process == self.own.process {
                     let from = process;
-                    self.control_engines(controller::Event::Wish { from, wish }, now);
+                    self.control_engines(controller::Event::CreditRequest { from, request }, now);
                 } else {
                     self.peers
-                        .send_credit(address, Message::Wish([wish].into_iter().collect()));
+                        .send_credit(address, Message::CreditRequest([request].into_iter().collect()));
                 }
             }
         }
--- a/crates/tinbank-admission/src/wishes.rs
+++ b/crates/tinbank-admission/src/wishes.rs
@@ -5,7 +5,7 @@
     time::{Duration, Instant},
 };
 
-use tinbank_base::{frame::credit::Wish, id};
+use tinbank_base::{frame::credit::CreditRequest, id};
 
 /// Time after which a wish that is not requested again is reduced to the running requests.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
@@ -65,7 +65,7 @@
     }
 
     /// Returns the wishes to send now. `engines` and `processes` are the numbers of each in the fleet.
-    pub(crate) fn take_due(&mut self, engines: usize, processes: usize, now: Instant) -> Vec<Wish> {
+    pub(crate) fn take_due(&mut self, engines: usize, processes: usize, now: Instant) -> Vec<CreditRequest> {
         for entry in self.entries.values_mut() {
             if now >= entry.last_requested + IDLE_TIMEOUT {
                 entry.wanted = entry.running;
@@ -81,7 +81,7 @@
             };
             if entry.is_due(wanted, now) {
                 entry.sent = Some((wanted, now));
-                wishes.push(Wish {
+                wishes.push(CreditRequest {
                     upstream: *upstream,
                     customer: customer.clone(),
                     wanted,
--- a/crates/tinbank-admission/tests/service.rs
+++ b/crates/tinbank-admission/tests/service.rs
@@ -97,7 +97,7 @@
         let due = now + Duration::from_secs(60);
         match service.enter(ENGINE, "north", now) {
             Some(pass) => passes.push(pass),
-            None => service.wish(ENGINE, "north", SLOTS, due, now),
+            None => service.request_credits(ENGINE, "north", SLOTS, due, now),
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
--- a/crates/tinbank-admission/tests/world/mod.rs
+++ b/crates/tinbank-admission/tests/world/mod.rs
@@ -17,7 +17,7 @@
     clock::Stamp,
     frame::{
         Body, Datagram,
-        credit::{Grant, Load, Message, Wish},
+        credit::{Grant, Load, Message, CreditRequest},
         datagram::{Key, seal},
     },
     id::{Process, Role},
@@ -56,7 +56,7 @@
 
 enum Frame {
     Load(Process, Load),
-    Wish(Process, Wish),
+    CreditRequest(Process, CreditRequest),
     Grant(Process, Grant),
     Withdraw(Process, Grant),
 }
@@ -67,7 +67,7 @@
         const MICROS: u64 = 1_790_000_000_000_000;
         let (from, message) = match self {
             Self::Load(from, load) => (from, Message::Load([*load].into_iter().collect())),
-            Self::Wish(from, wish) => (from, Message::Wish([wish.clone()].into_iter().collect())),
+            Self::CreditRequest(from, request) => (from, Message::CreditRequest([request.clone()].into_iter().collect())),
             Self::Grant(from, grant) => (from, Message::Grant([*grant].into_iter().collect())),
             Self::Withdraw(from, grant) => {
                 (from, Message::Withdraw([*grant].into_iter().collect()))
@@ -266,7 +266,7 @@
         let now = self.now;
         match frame {
             Frame::Load(from, load) => self.control(to, Event::Load { from, load }),
-            Frame::Wish(from, wish) => self.control(to, Event::Wish { from, wish }),
+            Frame::CreditRequest(from, request) => self.control(to, Event::CreditRequest { from, request }),
             Frame::Grant(..) | Frame::Withdraw(..) => {
                 let Some(process) = self.holders.get_mut(&to) else {
                     return;
@@ -280,7 +280,7 @@
                     Frame::Withdraw(from, grant) => {
                         process.holder.on_withdrawal(writer(from), grant, now)
                     }
-                    Frame::Load(..) | Frame::Wish(..) => Vec::new(),
+                    Frame::Load(..) | Frame::CreditRequest(..) => Vec::new(),
                 };
                 self.cancel(to, actions);
             }
@@ -335,18 +335,18 @@
             }
             if now >= state.next_wish {
                 state.next_wish = now + WISH_INTERVAL;
-                let wish = Wish {
+                let request = CreditRequest {
                     upstream: ENGINE,
                     customer: state.customer.clone(),
                     wanted: state.wanted,
                     due_in_ms: 60_000,
                 };
-                wishes.push((process, wish));
+                wishes.push((process, request));
             }
         }
-        for (from, wish) in wishes {
+        for (from, request) in wishes {
             for to in [batch(1), batch(2)] {
-                self.send(to, Frame::Wish(from, wish.clone()));
+                self.send(to, Frame::CreditRequest(from, request.clone()));
             }
         }
     }
--- a/crates/tinbank-base/src/frame/credit.rs
+++ b/crates/tinbank-base/src/frame/credit.rs
@@ -18,7 +18,7 @@
 
 /// Number of batch requests that a process could run in an engine for one customer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Wish {
+pub struct CreditRequest {
     pub upstream: id::Upstream,
     pub customer: id::Customer,
     /// Number of credits it could use at once, including those it has.
@@ -37,7 +37,7 @@
     /// Total number of credits. If more requests are in flight, the holder cancels the excess.
     pub credits: u16,
     /// Validity of the grant in milliseconds from its receipt.
-    pub holds_ms: u16,
+    pub ttl_ms: u16,
 }
 
 /// A message of admission control.
@@ -46,7 +46,7 @@
     /// Sent by online processes to an engine's controllers whenever the numbers change.
     Load(SmallVec<[Load; 4]>),
     /// Sent by batch processes to an engine's controller.
-    Wish(SmallVec<[Wish; 2]>),
+    CreditRequest(SmallVec<[CreditRequest; 2]>),
     /// Sent by an engine's controller to batch processes.
     Grant(SmallVec<[Grant; 4]>),
     /// Sent by the second-ranked controller to lower the credits. It never raises what the first one granted.
--- a/crates/tinbank-base/tests/examples/mod.rs
+++ b/crates/tinbank-base/tests/examples/mod.rs
@@ -269,7 +269,7 @@
             upstream: 1,
             round: 2,
             credits: 3,
-            holds_ms: 400,
+            ttl_ms: 400,
         }
     ])))
 }
--- a/crates/tinbank-batch/src/runner/partition.rs
+++ b/crates/tinbank-batch/src/runner/partition.rs
@@ -73,5 +73,5 @@
         self.room.enter_within(upstream, self.share(upstream))
     }
 
-    fn wish(&self, _: id::Upstream, _: &str, _: u16, _: Instant, _: Instant) {}
+    fn request_credits(&self, _: id::Upstream, _: &str, _: u16, _: Instant, _: Instant) {}
 }
--- a/crates/tinbank-batch/src/runner/pool/place.rs
+++ b/crates/tinbank-batch/src/runner/pool/place.rs
@@ -67,7 +67,7 @@
             let wanted = each + self.lanes.running(*upstream);
             let wanted = u16::try_from(wanted).unwrap_or(u16::MAX);
             let customer = &task.flow.customer;
-            self.parts.gate.wish(*upstream, customer, wanted, due, now);
+            self.parts.gate.request_credits(*upstream, customer, wanted, due, now);
         }
     }
 }
--- a/crates/tinbank-batch/src/runner/room.rs
+++ b/crates/tinbank-batch/src/runner/room.rs
@@ -68,7 +68,7 @@
         self.enter_within(upstream, self.limit)
     }
 
-    fn wish(&self, _: id::Upstream, _: &str, _: u16, _: Instant, _: Instant) {}
+    fn request_credits(&self, _: id::Upstream, _: &str, _: u16, _: Instant, _: Instant) {}
 }
 
 impl Shared {
--- a/crates/tinbank-batch/tests/support/gate.rs
+++ b/crates/tinbank-batch/tests/support/gate.rs
@@ -59,5 +59,5 @@
         Some(Pass { withdrawn, ..pass })
     }
 
-    fn wish(&self, _: id::Upstream, _: &str, _: u16, _: Instant, _: Instant) {}
+    fn request_credits(&self, _: id::Upstream, _: &str, _: u16, _: Instant, _: Instant) {}
 }
--- a/crates/tinbank-load/src/slopes/controller.rs
+++ b/crates/tinbank-load/src/slopes/controller.rs
@@ -7,7 +7,7 @@
     controller::{Controller, Event, LEARNING_PERIOD, Rank},
 };
 use tinbank_base::{
-    frame::credit::{Load, Wish},
+    frame::credit::{Load, CreditRequest},
     id::{self, Process, Role},
 };
 
@@ -138,12 +138,12 @@
 }
 
 fn wish_of(upstream: id::Upstream, holder: u32, wanted: u16) -> Event {
-    Event::Wish {
+    Event::CreditRequest {
         from: Process {
             host: holder + 1,
             role: Role::Batch,
         },
-        wish: Wish {
+        request: CreditRequest {
             upstream,
             customer: "moreton-basin".into(),
             wanted,
--- a/crates/tinbank-load/src/slopes/fleet.rs
+++ b/crates/tinbank-load/src/slopes/fleet.rs
@@ -341,7 +341,7 @@
             .retain(|(at, pass)| *at > now && !withdrawn(pass));
         let due = now + Duration::from_secs(3_600);
         for upstream in &self.used {
-            self.service.wish(*upstream, CUSTOMER, WANTED, due, now);
+            self.service.request_credits(*upstream, CUSTOMER, WANTED, due, now);
             if let Some(pass) = self.service.enter(*upstream, CUSTOMER, now) {
                 self.passes.push((now + ITEM, pass));
             }
