--- a/crates/tinbank-admission/src/controller.rs
+++ b/crates/tinbank-admission/src/controller.rs
@@ -32,8 +32,8 @@
 pub const LEARNING_PERIOD: Duration = Duration::from_millis(3_500);
 /// Validity of a reported load.
 pub const LOAD_TTL: Duration = Duration::from_secs(25);
-/// Validity of a wish. It survives two lost repetitions.
-pub const WISH_TTL: Duration = Duration::from_secs(17);
+/// Validity of a credit request. It survives two lost repetitions.
+pub const CREDIT_REQUEST_TTL: Duration = Duration::from_secs(17);
 /// Number of times a lowered grant is repeated, so that a lost frame delays it by only one tick.
 const LOWERED_GRANT_REPEATS: u8 = 2;
 /// Time between moves of a credit from one customer to another. Each move cancels an item.
@@ -189,7 +189,7 @@
         match event {
             Event::Tick => self.tick(now, &mut actions),
             Event::Load { from, load } => self.on_load(from, load, now, &mut actions),
-            Event::CreditRequest { from, request } => self.on_wish(from, request, now),
+            Event::CreditRequest { from, request } => self.on_credit_request(from, request, now),
             Event::Rank { upstream, rank } => self.set_rank(upstream, rank, now),
             Event::Engines(engines) => self.set_engines(&engines, now),
             Event::Shares(shares) => self.weights = shares,
@@ -261,21 +261,21 @@
         }
     }
 
-    fn on_wish(&mut self, from: id::Process, request: CreditRequest, now: Instant) {
+    fn on_credit_request(&mut self, from: id::Process, request: CreditRequest, now: Instant) {
         let Some(state) = self.engines.get_mut(&request.upstream) else {
             return;
         };
         let allocation = Allocation {
             wanted: request.wanted,
             due: now + Duration::from_millis(request.due_in_ms.into()),
-            expires: now + WISH_TTL,
+            expires: now + CREDIT_REQUEST_TTL,
             credits: 0,
         };
         let claimant = Claimant {
             holder: from,
             customer: request.customer,
         };
-        state.allocations.apply_wish(claimant, allocation);
+        state.allocations.apply_request(claimant, allocation);
     }
 
     fn tick(&mut self, now: Instant, actions: &mut Vec<Action>) {
--- a/crates/tinbank-admission/src/wishes.rs
+++ b/crates/tinbank-admission/src/credit_requests.rs
@@ -1,4 +1,4 @@
-//! Wishes of this process: the credits that its batch requests could use, sent to controllers at a bounded rate.
+//! Credit requests of this process: the credits that its batch requests could use, sent to controllers at a bounded rate.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -7,17 +7,17 @@
 
 use tinbank_base::{frame::credit::CreditRequest, id};
 
-/// Time after which a wish that is not requested again is reduced to the running requests.
+/// Time without activity after which the wanted credits are reduced to the running batch requests.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Shortest time between two updates of a wish.
+/// Shortest interval between updates of a credit request.
 const MIN_UPDATE_INTERVAL: Duration = Duration::from_millis(500);
-/// Time after which an unchanged wish is sent again, so that it survives a lost frame.
+/// Time after which an unchanged credit request is sent again, so that it survives a lost frame.
 const REPEAT_INTERVAL: Duration = Duration::from_secs(5);
-/// Up to this number of engines, each process may send wishes to all of them.
+/// Up to this number of engines in the fleet, each process may request credits for all of them.
 const UNLIMITED_ENGINES: usize = 32;
-/// Mean number of processes that send wishes for one engine, in fleets with more engines.
-const WISHES_PER_ENGINE: usize = 8;
-/// Minimum number of engines that a process may send wishes for.
+/// Mean number of processes that request credits for one engine, in fleets with more engines.
+const REQUESTS_PER_ENGINE: usize = 8;
+/// Minimum number of engines that a process may request credits for.
 const MIN_ENGINES: usize = 8;
 
 #[derive(Clone, Debug)]
@@ -29,13 +29,13 @@
     sent: Option<(u16, Instant)>,
 }
 
-/// Wishes by engine and customer.
+/// Wanted credits and running batch requests, by engine and customer.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Wishes {
+pub(crate) struct CreditRequests {
     entries: BTreeMap<(id::Upstream, id::Customer), Entry>,
 }
 
-impl Wishes {
+impl CreditRequests {
     pub(crate) fn set_wanted(
         &mut self,
         upstream: id::Upstream,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Returns the wishes to send now. `engines` and `processes` are the numbers of each in the fleet.
+    /// Returns the credit requests to send now. `engines` and `processes` are the numbers of each in the fleet.
     pub(crate) fn take_due(&mut self, engines: usize, processes: usize, now: Instant) -> Vec<CreditRequest> {
         for entry in self.entries.values_mut() {
             if now >= entry.last_requested + IDLE_TIMEOUT {
@@ -72,7 +72,7 @@
             }
         }
         let selected = self.select_engines(engine_limit(engines, processes));
-        let mut wishes = Vec::new();
+        let mut requests = Vec::new();
         self.entries.retain(|(upstream, customer), entry| {
             let wanted = if selected.contains(upstream) {
                 entry.wanted
@@ -81,7 +81,7 @@
             };
             if entry.is_due(wanted, now) {
                 entry.sent = Some((wanted, now));
-                wishes.push(CreditRequest {
+                requests.push(CreditRequest {
                     upstream: *upstream,
                     customer: customer.clone(),
                     wanted,
@@ -91,17 +91,17 @@
             let sent = entry.sent.map_or(0, |(sent, _)| sent);
             entry.wanted > 0 || sent > 0
         });
-        wishes
+        requests
     }
 
-    /// Marks all wishes to be sent again, since a controller may have changed.
+    /// Marks all credit requests to be sent again, since a controller has changed.
     pub(crate) fn resend_all(&mut self) {
         for entry in self.entries.values_mut() {
             entry.sent = entry.sent.filter(|(wanted, _)| *wanted == 0);
         }
     }
 
-    /// Selects the engines to send wishes for: those with running requests, then the most recently requested.
+    /// Selects the engines to request credits for: those with running batch requests, then the most recently requested.
     fn select_engines(&self, limit: usize) -> BTreeSet<id::Upstream> {
         let mut ranked: Vec<_> = self
             .entries
@@ -153,7 +153,7 @@
     if engines <= UNLIMITED_ENGINES {
         return engines;
     }
-    let fair = engines * WISHES_PER_ENGINE / processes.max(1);
+    let fair = engines * REQUESTS_PER_ENGINE / processes.max(1);
     fair.max(MIN_ENGINES)
 }
 
--- a/crates/tinbank-admission/src/lib.rs
+++ b/crates/tinbank-admission/src/lib.rs
@@ -11,7 +11,7 @@
 mod service;
 mod share;
 mod load_reporter;
-mod wishes;
+mod credit_requests;
 
 pub use controller::{Engine, Settings};
 pub use gate::{Gate, Pass};
--- a/crates/tinbank-admission/src/service.rs
+++ b/crates/tinbank-admission/src/service.rs
@@ -23,7 +23,7 @@
     gate::{Gate, Pass},
     holder::{self, Holder, PassId},
     rank,
-    wishes::Wishes,
+    credit_requests::CreditRequests,
 };
 
 /// Interval between ticks of both state machines.
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 struct Shared {
     holder: Holder,
-    wishes: Wishes,
+    credit_requests: CreditRequests,
     withdrawals: BTreeMap<PassId, watch::Sender<bool>>,
 }
 
@@ -74,7 +74,7 @@
         let (events, receiver) = mpsc::unbounded_channel();
         let shared = Arc::new(Mutex::new(Shared {
             holder: Holder::new(Instant::now()),
-            wishes: Wishes::default(),
+            credit_requests: CreditRequests::default(),
             withdrawals: BTreeMap::new(),
         }));
         let task = Task {
@@ -117,7 +117,7 @@
     fn enter(&self, upstream: id::Upstream, customer: &str, now: Instant) -> Option<Pass> {
         let mut shared = lock(&self.shared);
         let pass = shared.holder.enter(upstream, now)?;
-        shared.wishes.on_enter(upstream, customer, now);
+        shared.credit_requests.on_enter(upstream, customer, now);
         let (withdrawal, withdrawn) = watch::channel(false);
         shared.withdrawals.insert(pass, withdrawal);
         let guard = Guard {
@@ -142,7 +142,7 @@
         now: Instant,
     ) {
         let mut shared = lock(&self.shared);
-        shared.wishes.set_wanted(upstream, customer, wanted, due, now);
+        shared.credit_requests.set_wanted(upstream, customer, wanted, due, now);
     }
 }
 
@@ -158,7 +158,7 @@
     fn drop(&mut self) {
         let mut shared = lock(&self.shared);
         shared.holder.leave(self.upstream, self.pass);
-        shared.wishes.on_leave(self.upstream, &self.customer);
+        shared.credit_requests.on_leave(self.upstream, &self.customer);
         shared.withdrawals.remove(&self.pass);
     }
 }
@@ -214,8 +214,8 @@
                     self.control_engines(controller::Event::Load { from, load }, now);
                 }
             }
-            Message::CreditRequest(wishes) => {
-                for request in wishes {
+            Message::CreditRequest(credit_requests) => {
+                for request in credit_requests {
                     let from = from.process;
                     self.control_engines(controller::Event::CreditRequest { from, request }, now);
                 }
@@ -265,13 +265,13 @@
         let now = Instant::now();
         self.update_members(now);
         self.control_engines(controller::Event::Tick, now);
-        let wishes = {
+        let credit_requests = {
             let mut shared = lock(&self.shared);
             let actions = shared.holder.tick(now);
             shared.perform(actions);
-            shared.wishes.take_due(self.engines.len(), self.ready.len(), now)
+            shared.credit_requests.take_due(self.engines.len(), self.ready.len(), now)
         };
-        self.send_wishes(wishes, now);
+        self.send_credit_requests(credit_requests, now);
     }
 
     fn update_members(&mut self, now: Instant) {
@@ -315,7 +315,7 @@
             shared.holder.set_controller(upstream, first);
         }
         if moved {
-            lock(&self.shared).wishes.resend_all();
+            lock(&self.shared).credit_requests.resend_all();
         }
     }
 
@@ -344,8 +344,8 @@
         }
     }
 
-    fn send_wishes(&mut self, wishes: Vec<CreditRequest>, now: Instant) {
-        for request in wishes {
+    fn send_credit_requests(&mut self, credit_requests: Vec<CreditRequest>, now: Instant) {
+        for request in credit_requests {
             let Some(controllers) = self.controllers.get(&request.upstream).copied() else {
                 continue;
             };
--- a/crates/tinbank-admission/src/share.rs
+++ b/crates/tinbank-admission/src/share.rs
@@ -14,7 +14,7 @@
     pub(crate) customer: id::Customer,
 }
 
-/// A wish and the credits granted for it.
+/// A credit request and the credits granted for it.
 #[derive(Clone, Debug)]
 pub(crate) struct Allocation {
     pub(crate) wanted: u16,
@@ -33,14 +33,14 @@
 pub(crate) type Weights = BTreeMap<id::Customer, u32>;
 
 impl Allocations {
-    /// Records a wish. Credits granted before are kept, up to the number wanted now.
-    pub(crate) fn apply_wish(&mut self, claimant: Claimant, allocation: Allocation) {
+    /// Records a credit request. Credits granted before are kept, up to the number wanted now.
+    pub(crate) fn apply_request(&mut self, claimant: Claimant, allocation: Allocation) {
         let granted = self.allocations.get(&claimant).map_or(0, |allocation| allocation.credits);
         let credits = granted.min(allocation.wanted);
         self.allocations.insert(claimant, Allocation { credits, ..allocation });
     }
 
-    /// Removes expired wishes and their credits.
+    /// Removes expired requests and their credits.
     pub(crate) fn expire(&mut self, now: Instant) {
         self.allocations.retain(|_, allocation| allocation.expires > now);
     }
@@ -49,7 +49,7 @@
         self.allocations.values().map(|allocation| allocation.credits).sum()
     }
 
-    /// Returns the credits of each batch process, 0 for those with a wish but no credits.
+    /// Returns the credits of each batch process, 0 for those with a request but no credits.
     pub(crate) fn by_holder(&self) -> BTreeMap<id::Process, u16> {
         let mut holders = BTreeMap::new();
         for (claimant, allocation) in &self.allocations {
--- a/crates/tinbank-admission/tests/world/mod.rs
+++ b/crates/tinbank-admission/tests/world/mod.rs
@@ -31,7 +31,7 @@
 const RISE_REPEAT_DELAY: Duration = Duration::from_millis(100);
 const TICK: Duration = Duration::from_millis(100);
 const STEP: Duration = Duration::from_millis(1);
-const WISH_INTERVAL: Duration = Duration::from_secs(5);
+const REQUEST_INTERVAL: Duration = Duration::from_secs(5);
 
 pub fn batch(host: u32) -> Process {
     Process {
@@ -102,7 +102,7 @@
     waiting: Vec<Frame>,
     passes: Vec<PassId>,
     cancelling: Vec<(PassId, Instant)>,
-    next_wish: Instant,
+    next_request: Instant,
 }
 
 impl Batch {
@@ -173,7 +173,7 @@
                 waiting: Vec::new(),
                 passes: Vec::new(),
                 cancelling: Vec::new(),
-                next_wish: now,
+                next_request: now,
             };
             world.holders.insert(batch(host), batch_process);
         }
@@ -311,10 +311,10 @@
         }
     }
 
-    /// Batch processes use all their credits, and send wishes.
+    /// Batch processes use all their credits, and request more.
     fn use_credits(&mut self) {
         let now = self.now;
-        let mut wishes = Vec::new();
+        let mut requests = Vec::new();
         for (&process, state) in &mut self.holders {
             let Batch {
                 holder, cancelling, ..
@@ -333,18 +333,18 @@
             {
                 state.passes.push(number);
             }
-            if now >= state.next_wish {
-                state.next_wish = now + WISH_INTERVAL;
+            if now >= state.next_request {
+                state.next_request = now + REQUEST_INTERVAL;
                 let request = CreditRequest {
                     upstream: ENGINE,
                     customer: state.customer.clone(),
                     wanted: state.wanted,
                     due_in_ms: 60_000,
                 };
-                wishes.push((process, request));
+                requests.push((process, request));
             }
         }
-        for (from, request) in wishes {
+        for (from, request) in requests {
             for to in [batch(1), batch(2)] {
                 self.send(to, Frame::CreditRequest(from, request.clone()));
             }
