--- a/crates/tinbank-admission/src/burst.rs
+++ b/crates/tinbank-admission/src/burst.rs
@@ -5,8 +5,8 @@
     time::{Duration, Instant},
 };
 
-/// Window within which a rise counts as one burst: the time that a withdrawal takes to free a slot, with one lost frame. See
-/// `docs/design/admission.md`.
+/// Window within which a rise counts as one burst: the time that a withdrawal takes to free a slot, with one lost
+/// frame. See `docs/design/admission.md`.
 const BURST_WINDOW: Duration = Duration::from_millis(400);
 /// Half-life of the largest burst.
 const HALF_LIFE: Duration = Duration::from_secs(60);
--- a/crates/tinbank-admission/src/controller.rs
+++ b/crates/tinbank-admission/src/controller.rs
@@ -27,8 +27,8 @@
 /// Longest time a grant is assumed to spend in transit. A longer delay means that the receiver paused, which the
 /// receiver detects itself.
 pub const MAX_TRANSIT_TIME: Duration = Duration::from_millis(200);
-/// Time that a new controller waits before its first grant, so that all grants of its predecessor have expired and every
-/// online process has reported its load.
+/// Time that a new controller waits before its first grant, so that all grants of its predecessor have expired and
+/// every online process has reported its load.
 pub const LEARNING_PERIOD: Duration = Duration::from_millis(3_500);
 /// Validity of a reported load.
 pub const LOAD_TTL: Duration = Duration::from_secs(25);
@@ -46,8 +46,8 @@
 /// Parameters of admission control.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Part of the largest recent burst that is kept free, in per cent. Less favours batch throughput over the latency of
-    /// online requests; see `docs/design/admission.md`.
+    /// Part of the largest recent burst that is kept free, in per cent. Less favours batch throughput over the latency
+    /// of online requests; see `docs/design/admission.md`.
     pub lean_percent: u16,
 }
 
@@ -140,8 +140,8 @@
     next_rebalance: Instant,
 }
 
-/// Bounds on the number of batch credits for an engine. Half of the headroom lies between the two, so that a single online
-/// request does not cancel an item.
+/// Bounds on the number of batch credits for an engine. Half of the headroom lies between the two, so that a single
+/// online request does not cancel an item.
 #[derive(Clone, Copy, Debug)]
 struct Budget {
     /// Credits are granted up to this number: all of the headroom stays free.
--- a/crates/tinbank-admission/src/credit_requests.rs
+++ b/crates/tinbank-admission/src/credit_requests.rs
@@ -1,4 +1,5 @@
-//! Credit requests of this process: the credits that its batch requests could use, sent to controllers at a bounded rate.
+//! Credit requests of this process: the credits that its batch requests could use, sent to controllers at a bounded
+//! rate.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
--- a/crates/tinbank-admission/src/gate.rs
+++ b/crates/tinbank-admission/src/gate.rs
@@ -1,5 +1,5 @@
-//! Interface of admission control for the batch runner, which acquires a pass for each request and cancels the request when
-//! the pass is withdrawn.
+//! Interface of admission control for the batch runner, which acquires a pass for each request and cancels the request
+//! when the pass is withdrawn.
 
 use std::{fmt, time::Instant};
 
@@ -29,7 +29,7 @@
     /// Returns a pass for one batch request of a customer to an engine, or `None` if no credit is free.
     fn enter(&self, upstream: id::Upstream, customer: &str, now: Instant) -> Option<Pass>;
 
-    /// Sets the number of credits that requests of a customer could use at an engine, so that they are requested from its
-    /// controller.
+    /// Sets the number of credits that requests of a customer could use at an engine, so that they are requested from
+    /// its controller.
     fn request_credits(&self, upstream: id::Upstream, customer: &str, wanted: u16, due: Instant, now: Instant);
 }
--- a/crates/tinbank-admission/src/load_reporter.rs
+++ b/crates/tinbank-admission/src/load_reporter.rs
@@ -1,4 +1,5 @@
-//! Admission control in an online process: reports the number of its requests in each engine to the engine's controllers.
+//! Admission control in an online process: reports the number of its requests in each engine to the engine's
+//! controllers.
 
 use std::{
     collections::BTreeMap,
@@ -144,8 +145,8 @@
         });
     }
 
-    /// Sends the load to both controllers as needed. Lower loads reach the second one only with repetitions: it may only
-    /// withdraw after rises, so a load that is too high does no harm.
+    /// Sends the load to both controllers as needed. Lower loads reach the second one only with repetitions: it may
+    /// only withdraw after rises, so a load that is too high does no harm.
     fn send(&mut self, upstream: id::Upstream, now: Instant) {
         let Some(engine) = self.engines.get_mut(&upstream) else {
             return;
--- a/crates/tinbank-admission/src/share.rs
+++ b/crates/tinbank-admission/src/share.rs
@@ -77,8 +77,8 @@
         Some(claimant)
     }
 
-    /// Takes one credit from the customer most over its share if the one furthest below, given that credit, would still have
-    /// less in proportion to its weight.
+    /// Takes one credit from the customer most over its share if the one furthest below, given that credit, would still
+    /// have less in proportion to its weight.
     pub(crate) fn rebalance(&mut self, weights: &Weights) {
         let (Some(over), Some(under)) = (self.most_over_share(weights), self.most_under_share(weights)) else {
             return;
--- a/crates/tinbank-admission/tests/curve.rs
+++ b/crates/tinbank-admission/tests/curve.rs
@@ -1,5 +1,5 @@
-//! Trade-off between batch throughput and online latency by `lean_percent`: the table of `docs/design/admission.md`. Run with
-//! `--nocapture` to print it.
+//! Trade-off between batch throughput and online latency by `lean_percent`: the table of `docs/design/admission.md`.
+//! Run with `--nocapture` to print it.
 
 mod world;
 
--- a/crates/tinbank-admission/tests/world/mod.rs
+++ b/crates/tinbank-admission/tests/world/mod.rs
@@ -385,8 +385,8 @@
         }
     }
 
-    /// Returns the largest number of requests that an allocator with global knowledge and no lag would have admitted at any
-    /// time within `lag`.
+    /// Returns the largest number of requests that an allocator with global knowledge and no lag would have admitted at
+    /// any time within `lag`.
     pub fn max_free_within(&self, lag: Duration) -> u16 {
         let from = self.now.checked_sub(lag).unwrap_or(self.now);
         let before = self.history.iter().rev().find(|(at, _)| *at <= from);
--- a/crates/tinbank-routing/src/leaving.rs
+++ b/crates/tinbank-routing/src/leaving.rs
@@ -1,7 +1,7 @@
 //! Tracks which upstreams are leaving, from the host list, the upstreams' own answers and updates of peers.
 //!
-//! The host list lags, so a notice from the upstream or a peer overrides it. The notice ends when a list shows the upstream live
-//! after one that did not, or after [`NOTICE_TTL`]. See `docs/design/routing.md`.
+//! The host list lags, so a notice from the upstream or a peer overrides it. The notice ends when a list shows the
+//! upstream live after one that did not, or after [`NOTICE_TTL`]. See `docs/design/routing.md`.
 
 use std::{
     collections::BTreeMap,
@@ -89,8 +89,8 @@
         self.version = Some(list.version);
         self.listed = listed;
         self.remove_expired(now);
-        // Peers of a large fleet read the list less often, so a change in it is sent to them as well. Drains by operators don't
-        // change the version: each process reads them from the configuration.
+        // Peers of a large fleet read the list less often, so a change in it is sent to them as well. Drains by
+        // operators don't change the version: each process reads them from the configuration.
         if newer {
             for upstream in left {
                 self.add_notice(upstream, seen_live_in, now);
--- a/crates/tinbank-routing/src/limit/account.rs
+++ b/crates/tinbank-routing/src/limit/account.rs
@@ -113,7 +113,7 @@
     pub(super) fn check(&mut self, hosts: usize, now: Instant) -> Result<(), (LimitKind, Instant)> {
         self.refill(hosts, now);
         let concurrency_share = self.concurrency_share(hosts, now);
-        if concurrency_share.is_some_and(|limit_value| self.running >= limit_value) {
+        if concurrency_share.is_some_and(|share| self.running >= share) {
             self.over_concurrency.add(1.0, now);
             return Err((LimitKind::Concurrency, now + CONCURRENCY_RETRY_AFTER));
         }
@@ -139,8 +139,9 @@
         Ok(())
     }
 
-    /// Returns the number of requests that may run concurrently at this host: at least an even share until the keeper has answered,
-    /// so that the first requests of an idle customer are admitted, and at least one, for limits below the number of hosts.
+    /// Returns the number of requests that may run concurrently at this host: at least an even share until the keeper
+    /// has answered, so that the first requests of an idle customer are admitted, and at least one, for limits below
+    /// the number of hosts.
     fn concurrency_share(&self, hosts: usize, now: Instant) -> Option<u32> {
         let limit_value = LimitKind::Concurrency.of(&self.limits)?;
         let claim = &self.claims[LimitKind::Concurrency as usize];
@@ -183,9 +184,9 @@
     }
 }
 
-/// Returns the smallest bucket size: an even share of one second, so that a customer far below its limit is not refused before the
-/// keeper answers. With a limit below one request per second and host, two requests are admitted and the keeper is asked only after
-/// the second, since most requests there are isolated.
+/// Returns the smallest bucket size: an even share of one second, so that a customer far below its limit is not refused
+/// before the keeper answers. With a limit below one request per second and host, two requests are admitted and the
+/// keeper is asked only after the second, since most requests there are isolated.
 fn min_burst(limits: &Online, hosts: usize) -> f64 {
     if is_below_one_per_host(limits, hosts) {
         return 2.0;
--- a/crates/tinbank-routing/src/limit/demand.rs
+++ b/crates/tinbank-routing/src/limit/demand.rs
@@ -7,12 +7,12 @@
 /// Time constant of demand averages.
 pub const AVERAGING_PERIOD: Duration = Duration::from_secs(1);
 
-/// Byte budget of the fleet for asks, and as much again for answers. Each host's part is clamped to
+/// Byte budget of the fleet for claim requests, and as much again for answers. Each host's part is clamped to
 /// [`MIN_HOST_BYTES_PER_SECOND`] and [`MAX_HOST_BYTES_PER_SECOND`].
 const FLEET_BYTES_PER_SECOND: f64 = 7_200.0;
-/// Smallest byte budget of a host for asks, and for answers.
+/// Smallest byte budget of a host for claim requests, and for answers.
 pub const MIN_HOST_BYTES_PER_SECOND: f64 = 100.0;
-/// Largest byte budget of a host for asks, and for answers.
+/// Largest byte budget of a host for claim requests, and for answers.
 pub const MAX_HOST_BYTES_PER_SECOND: f64 = 600.0;
 /// Bytes of a frame without claims, parts or limits, as counted in the budget.
 pub const FRAME_BYTES: f64 = 50.0;
@@ -25,7 +25,7 @@
 /// Maximum number of claims in a frame, so that it and its answer fit into an unfragmented datagram.
 pub const MAX_CLAIMS: usize = 40;
 
-/// Returns the byte budget of one host for asks, and as much again for answers.
+/// Returns the byte budget of one host for claim requests, and as much again for answers.
 pub fn budget(hosts: usize) -> Rate {
     let per_second = (FLEET_BYTES_PER_SECOND / hosts.max(1) as f64).clamp(MIN_HOST_BYTES_PER_SECOND, MAX_HOST_BYTES_PER_SECOND);
     Rate {
--- a/crates/tinbank-routing/src/limit/keeper.rs
+++ b/crates/tinbank-routing/src/limit/keeper.rs
@@ -20,7 +20,7 @@
     share,
 };
 
-/// Target rate of asks. With more claimants grants are valid for longer, so that renewals come later.
+/// Target rate of claim requests. With more claimants grants are valid for longer, so that renewals come later.
 const TARGET_ANSWERS_PER_SECOND: u32 = 8;
 /// A grant of at least this fraction of the target counts as complete.
 const NEAR_TARGET: f64 = 0.95;
@@ -39,12 +39,12 @@
     byte_budget: Bucket,
 }
 
-/// Answer of a keeper to an ask.
+/// Answer of a keeper to a claim request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Answer {
-    /// Answer to the asking host; `None` if this host is not the keeper or the byte budget is used up.
+    /// Answer to the requesting host; `None` if this host is not the keeper or the byte budget is used up.
     pub grant: Option<Grant>,
-    /// Recalls to hosts that hold too much while the asking host lacks, or that lack what it has returned.
+    /// Recalls to hosts that hold too much while the requesting host lacks, or that lack what it has returned.
     pub recalls: Vec<(Writer, Recall)>,
 }
 
@@ -86,42 +86,42 @@
             .retain(|limit, _| ring.keeper(*limit) == Some(own));
     }
 
-    /// Handles an ask.
-    pub fn on_claim_request(&mut self, from: Writer, ask: &ClaimRequest, now: Instant) -> Answer {
+    /// Handles a claim request.
+    pub fn on_claim_request(&mut self, from: Writer, claim_request: &ClaimRequest, now: Instant) -> Answer {
         let own = self.own.process.host;
         let keeps = |claim: &Claim| self.ring.keeper(claim.limit) == Some(own);
-        if !ask.claims.iter().all(keeps) {
+        if !claim_request.claims.iter().all(keeps) {
             return Answer::default();
         }
-        let answers = self.may_answer(from, ask, now);
+        let answers = self.may_answer(from, claim_request, now);
         let grant_ttl = self.grant_ttl();
         let hosts = self.ring.hosts().len();
-        let parts = ask.claims.iter().map(|claim| {
+        let parts = claim_request.claims.iter().map(|claim| {
             let ring = &self.ring;
             let state = self.limits.entry(claim.limit).or_insert_with(|| LimitState {
                 exclusive_from: ring.exclusive_from(claim.limit, own),
                 claimants: BTreeMap::new(),
             });
-            state.record_claim(from, ask.round, claim, now);
+            state.record_claim(from, claim_request.round, claim, now);
             if !answers {
                 return None;
             }
-            state.grant(from, ask.round, hosts, grant_ttl, now)
+            state.grant(from, claim_request.round, hosts, grant_ttl, now)
         });
         let parts: Vec<Option<Part>> = parts.collect();
         let parts = parts.into_iter().collect::<Option<_>>();
-        let round = ask.round;
+        let round = claim_request.round;
         Answer {
             grant: parts.map(|parts| Grant { round, parts }),
-            recalls: self.recalls(from, ask, now),
+            recalls: self.recalls(from, claim_request, now),
         }
     }
 
-    /// Returns the recalls that an ask makes necessary.
-    fn recalls(&mut self, from: Writer, ask: &ClaimRequest, now: Instant) -> Vec<(Writer, Recall)> {
+    /// Returns the recalls that a claim request makes necessary.
+    fn recalls(&mut self, from: Writer, claim_request: &ClaimRequest, now: Instant) -> Vec<(Writer, Recall)> {
         let hosts = self.ring.hosts().len();
         let mut recalls: BTreeMap<Writer, Recall> = BTreeMap::new();
-        for claim in &ask.claims {
+        for claim in &claim_request.claims {
             let Some(state) = self.limits.get_mut(&claim.limit) else {
                 continue;
             };
@@ -156,11 +156,11 @@
         self.limits.values().map(|state| state.claimants.len()).sum()
     }
 
-    fn may_answer(&mut self, from: Writer, ask: &ClaimRequest, now: Instant) -> bool {
+    fn may_answer(&mut self, from: Writer, claim_request: &ClaimRequest, now: Instant) -> bool {
         if from == self.own {
             return true;
         }
-        let price = FRAME_BYTES + PART_BYTES * ask.claims.len() as f64;
+        let price = FRAME_BYTES + PART_BYTES * claim_request.claims.len() as f64;
         let budget = budget(self.ring.hosts().len());
         self.byte_budget.refill(budget, now);
         let left = self.byte_budget.check(price, budget).is_ok();
@@ -219,8 +219,8 @@
         share::target(self.pool(), demand)
     }
 
-    /// Selects the hosts to recall after an ask of `from`: those that hold too much if `from` lacks, or else those that lack if a
-    /// part of the pool is free.
+    /// Selects the hosts to recall after a claim request of `from`: those that hold too much if `from` lacks, or else
+    /// those that lack if a part of the pool is free.
     fn select_recalls(&mut self, from: Writer, hosts: usize, now: Instant) -> Vec<Writer> {
         let Some(claimant) = self.claimants.get(&from) else {
             return Vec::new();
--- a/crates/tinbank-routing/src/limit/limiter.rs
+++ b/crates/tinbank-routing/src/limit/limiter.rs
@@ -20,7 +20,7 @@
 
 /// Interval at which idle accounts are removed.
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(4);
-/// Time after which an answer to an ask is dropped.
+/// Time after which an answer to a claim request is dropped.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Refusal of a request over a limit.
@@ -41,15 +41,15 @@
     ring: Ring,
     accounts: BTreeMap<id::Limit, Account>,
     round: u32,
-    pending: BTreeMap<u32, PendingAsk>,
+    pending: BTreeMap<u32, PendingRequest>,
     byte_budget: Bucket,
     next_cleanup: Instant,
     is_urgent: bool,
 }
 
-/// An ask that has not been answered.
+/// A claim request that has not been answered.
 #[derive(Clone, Debug)]
-struct PendingAsk {
+struct PendingRequest {
     keeper: id::Host,
     at: Instant,
     limits: Vec<(id::Limit, LimitKind)>,
@@ -138,8 +138,8 @@
         self.is_urgent
     }
 
-    /// Returns the asks to send to keepers now, those with the highest demand relative to the limit first, within the byte budget.
-    /// Call it about twice per second, and when it [is urgent](Self::is_urgent).
+    /// Returns the claim requests to send to keepers now, those with the highest demand relative to the limit first,
+    /// within the byte budget. Call it about twice per second, and when it [is urgent](Self::is_urgent).
     pub fn claim_requests(&mut self, now: Instant) -> Vec<(id::Host, ClaimRequest)> {
         self.is_urgent = false;
         self.clean_up(now);
@@ -173,13 +173,13 @@
             }
         }
         claim_requests.into_iter()
-            .map(|(keeper, due)| (keeper, self.ask(keeper, &due, now)))
+            .map(|(keeper, due)| (keeper, self.build_claim_request(keeper, &due, now)))
             .collect()
     }
 
     /// Applies a keeper's grant.
     pub fn on_grant(&mut self, from: id::Host, grant: &Grant, now: Instant) {
-        let is_ours = |pending: &PendingAsk| {
+        let is_ours = |pending: &PendingRequest| {
             pending.keeper == from
                 && pending.limits.len() == grant.parts.len()
                 && now < pending.at + ANSWER_TIMEOUT
@@ -256,13 +256,13 @@
         due
     }
 
-    fn ask(&mut self, keeper: id::Host, due: &[DueClaim], now: Instant) -> ClaimRequest {
+    fn build_claim_request(&mut self, keeper: id::Host, due: &[DueClaim], now: Instant) -> ClaimRequest {
         self.round = self.round.wrapping_add(1);
         let round = self.round;
         let claims = due.iter().filter_map(|due| {
             let account = self.accounts.get_mut(&due.key)?;
             let claim = &mut account.claims[due.limit_kind as usize];
-            claim.record_ask(round, due.demand, due.limit_value.into(), now);
+            claim.record_sent(round, due.demand, due.limit_value.into(), now);
             Some(ClaimFrame {
                 limit: scope::limit(due.key, due.limit_kind),
                 limit_value: due.limit_value,
@@ -271,7 +271,7 @@
             })
         });
         let claims = claims.collect();
-        let pending = PendingAsk {
+        let pending = PendingRequest {
             keeper,
             at: now,
             limits: due.iter().map(|due| (due.key, due.limit_kind)).collect(),
@@ -280,7 +280,7 @@
         ClaimRequest { round, claims }
     }
 
-    /// Removes expired asks and idle accounts.
+    /// Removes expired claim requests and idle accounts.
     fn clean_up(&mut self, now: Instant) {
         self.pending.retain(|_, pending| now < pending.at + ANSWER_TIMEOUT);
         if now < self.next_cleanup {
--- a/crates/tinbank-routing/src/limit/mod.rs
+++ b/crates/tinbank-routing/src/limit/mod.rs
@@ -1,7 +1,7 @@
 //! Rate and concurrency limits of customers, enforced over all entry hosts without communication on the request path.
 //!
-//! Each host enforces a share of each limit, which follows the demand at the host. The limit's keeper, one of the online
-//! processes, grants the shares. The modules are free of I/O. See `docs/design/limits.md`.
+//! Each host enforces a share of each limit, which follows the demand at the host. The limit's keeper, one of the
+//! online processes, grants the shares. The modules are free of I/O. See `docs/design/limits.md`.
 
 mod account;
 pub mod bucket;
--- a/crates/tinbank-routing/src/limit/ring.rs
+++ b/crates/tinbank-routing/src/limit/ring.rs
@@ -37,8 +37,8 @@
         first(&self.hosts, limit)
     }
 
-    /// Returns the time from which no other keeper's grants of a limit are valid, or `None` if `keeper` has been its only recent
-    /// keeper.
+    /// Returns the time from which no other keeper's grants of a limit are valid, or `None` if `keeper` has been its
+    /// only recent keeper.
     pub fn exclusive_from(&self, limit: id::Limit, keeper: id::Host) -> Option<Instant> {
         let others = self.previous.iter().rev();
         let mut others = others.filter(|(_, hosts)| first(hosts, limit) != Some(keeper));
--- a/crates/tinbank-routing/src/limit/share.rs
+++ b/crates/tinbank-routing/src/limit/share.rs
@@ -1,7 +1,8 @@
 //! Share of a limit that one entry host may use.
 //!
-//! A small part of a limit, the *base share*, is split evenly among the hosts. The limit's keeper grants the rest, the *pool*, to
-//! hosts with demand. A host whose keeper does not answer uses an even share of the whole limit. See `docs/design/limits.md` for the bound.
+//! A small part of a limit, the *base share*, is split evenly among the hosts. The limit's keeper grants the rest, the
+//! *pool*, to hosts with demand. A host whose keeper does not answer uses an even share of the whole limit. See
+//! `docs/design/limits.md` for the bound.
 
 /// Part of a limit that is split evenly among the hosts, in per cent, so that hosts with little demand need no grant.
 pub const BASE_SHARE_PERCENT: f64 = 2.0;
@@ -34,8 +35,8 @@
     pub hosts: usize,
 }
 
-/// Returns the part of the pool that a host should get: its demand and a part of the remainder, as room for growth until its next
-/// claim, or a part in proportion to its demand if the pool is too small for all.
+/// Returns the part of the pool that a host should get: its demand and a part of the remainder, as room for growth
+/// until its next claim, or a part in proportion to its demand if the pool is too small for all.
 pub fn target(pool: f64, demand: Demand) -> f64 {
     let total = demand.own + demand.others;
     if total > pool {
--- a/crates/tinbank-routing/src/pick.rs
+++ b/crates/tinbank-routing/src/pick.rs
@@ -7,7 +7,8 @@
 use siphasher::sip::SipHasher13;
 use tinbank_base::id;
 
-/// Largest number of in-flight requests of this process at an upstream, in per cent of the mean, up to which affinity applies.
+/// Largest number of in-flight requests of this process at an upstream, in per cent of the mean, up to which affinity
+/// applies.
 pub const LOAD_BOUND_PERCENT: u32 = 125;
 
 /// Properties of an upstream that the choice depends on.
@@ -60,8 +61,8 @@
 
 /// Chooses among candidates. Returns `None` if there are none.
 ///
-/// Uses the first nonempty tier: not ejected and known to be loaded, not ejected, all. Within a tier it prefers near candidates
-/// with room in the rendezvous order of the prefix, then far ones with room, then the least loaded.
+/// Uses the first nonempty tier: not ejected and known to be loaded, not ejected, all. Within a tier it prefers near
+/// candidates with room in the rendezvous order of the prefix, then far ones with room, then the least loaded.
 pub fn choose(candidates: &[Candidate], prefix: u64) -> Option<Pick> {
     let is_ready = |candidate: &Candidate| !candidate.ejected && candidate.loaded;
     let is_unknown = |candidate: &Candidate| !candidate.ejected && !candidate.loaded;
@@ -126,8 +127,8 @@
     Some(Pick { index, reason })
 }
 
-/// Returns the bound on this process's in-flight requests at one upstream, including the new one: [`LOAD_BOUND_PERCENT`] of the
-/// mean, rounded up.
+/// Returns the bound on this process's in-flight requests at one upstream, including the new one:
+/// [`LOAD_BOUND_PERCENT`] of the mean, rounded up.
 fn bound(candidates: &[Candidate], group: &[usize]) -> u32 {
     let own: u64 = group
         .iter()
@@ -138,7 +139,8 @@
     u32::try_from(scaled.div_ceil(members * 100)).unwrap_or(u32::MAX)
 }
 
-/// Picks the least loaded candidate: by own counts, which are exact, then by reports, which lag, then by rendezvous order.
+/// Picks the least loaded candidate: by own counts, which are exact, then by reports, which lag, then by rendezvous
+/// order.
 fn least_loaded(candidates: &[Candidate], group: &[usize], prefix: u64) -> Option<Pick> {
     let index = group.iter().copied().min_by_key(|index| {
         let candidate = &candidates[*index];
--- a/crates/tinbank-routing/src/prefix.rs
+++ b/crates/tinbank-routing/src/prefix.rs
@@ -1,7 +1,7 @@
 //! Hash of a prompt's prefix, so that prompts which share it are sent to the engine that has it in its cache.
 //!
-//! The prefix is the first message: the system prompt, which many requests share, or else the first turn, which stays the same
-//! over one chat. See `docs/design/routing.md`.
+//! The prefix is the first message: the system prompt, which many requests share, or else the first turn, which stays
+//! the same over one chat. See `docs/design/routing.md`.
 
 use std::hash::Hasher as _;
 
@@ -24,7 +24,8 @@
     content: &'a RawValue,
 }
 
-/// Returns the hash of a service and the prefix of a chat completion's JSON body. Other bodies are hashed by their first bytes.
+/// Returns the hash of a service and the prefix of a chat completion's JSON body. Other bodies are hashed by their
+/// first bytes.
 pub fn of_body(service: &str, body: &[u8]) -> u64 {
     let chat = serde_json::from_slice::<Chat<'_>>(body).ok();
     let first = chat.as_ref().and_then(|chat| chat.messages.first());
--- a/crates/tinbank-routing/src/retry.rs
+++ b/crates/tinbank-routing/src/retry.rs
@@ -1,7 +1,7 @@
 //! Decides whether a request that failed at an upstream is retried at another one.
 //!
-//! Only requests that provably did not run or may run more than once are retried, before their deadline and within a budget
-//! that keeps failing upstreams from multiplying the load. See `docs/design/routing.md`.
+//! Only requests that provably did not run or may run more than once are retried, before their deadline and within a
+//! budget that keeps failing upstreams from multiplying the load. See `docs/design/routing.md`.
 
 use std::time::{Duration, Instant, SystemTime};
 
@@ -103,7 +103,8 @@
         self.ran = Ran::Unknown;
     }
 
-    /// Records a failed attempt and decides what follows. `wall` is the wall-clock time, for the caller's time to retry.
+    /// Records a failed attempt and decides what follows. `wall` is the wall-clock time, for the caller's time to
+    /// retry.
     pub fn record_failure(
         &mut self,
         error: &Error,
--- a/crates/tinbank-routing/src/shed.rs
+++ b/crates/tinbank-routing/src/shed.rs
@@ -1,7 +1,7 @@
 //! Load shedding: rejects online requests early when the upstreams of a service are overloaded.
 //!
-//! Customers over their share are rejected first. Batch requests do not pass here; admission control has withdrawn them at much
-//! lower load. See `docs/design/limits.md`.
+//! Customers over their share are rejected first. Batch requests do not pass here; admission control has withdrawn them
+//! at much lower load. See `docs/design/limits.md`.
 
 use std::collections::BTreeMap;
 
--- a/crates/tinbank-routing/src/table/entry.rs
+++ b/crates/tinbank-routing/src/table/entry.rs
@@ -33,7 +33,8 @@
     online: AtomicU32,
     batch: AtomicU32,
     pub(super) changed: AtomicBool,
-    /// Milliseconds since `epoch` until which it gets no new requests; 0 if it may get requests, `u64::MAX` if without limit.
+    /// Milliseconds since `epoch` until which it gets no new requests; 0 if it may get requests, `u64::MAX` if without
+    /// limit.
     leaving_until: AtomicU64,
     report: ArcSwapOption<ReportedLoad>,
     health: Mutex<Health>,
--- a/crates/tinbank-routing/src/table/mod.rs
+++ b/crates/tinbank-routing/src/table/mod.rs
@@ -1,7 +1,7 @@
 //! Table of upstreams, updated by the control thread and read by traffic threads.
 //!
-//! The control thread applies host lists, reports and updates of peers. Traffic threads choose upstreams and record results, from
-//! an immutable list of entries and atomic counts. See `docs/design/routing.md`.
+//! The control thread applies host lists, reports and updates of peers. Traffic threads choose upstreams and record
+//! results, from an immutable list of entries and atomic counts. See `docs/design/routing.md`.
 
 mod entry;
 mod ticket;
@@ -234,8 +234,8 @@
         .collect()
     }
 
-    /// Returns the `count` engines whose report was requested the longest ago, and marks it as requested, so that an unresponsive
-    /// engine is not polled more often.
+    /// Returns the `count` engines whose report was requested the longest ago, and marks it as requested, so that an
+    /// unresponsive engine is not polled more often.
     pub fn next_report_targets(&self, count: usize, now: Instant) -> SmallVec<[Target; 8]> {
         let entries = self.inner.entries.load();
         let mut engines: Vec<&Arc<Entry>> = entries
--- a/crates/tinbank-routing/tests/leaving.rs
+++ b/crates/tinbank-routing/tests/leaving.rs
@@ -220,8 +220,8 @@
 proptest! {
     #![proptest_config(property::config(2_000))]
 
-    /// The reference keeps for each host the newest list version of a notice, the current list version, and the one in which the
-    /// engine returned.
+    /// The reference keeps for each host the newest list version of a notice, the current list version, and the one in
+    /// which the engine returned.
     #[test]
     fn only_return_in_list_ends_notice(steps in prop::collection::vec(step(), 1..60)) {
         let now = Instant::now();
--- a/crates/tinbank-routing/tests/limits/cost.rs
+++ b/crates/tinbank-routing/tests/limits/cost.rs
@@ -53,7 +53,7 @@
         }
     }
     let mut running = VecDeque::new();
-    let (mut asked, mut admitted) = (0_u32, 0_u32);
+    let (mut requested, mut admitted) = (0_u32, 0_u32);
     for step in 0..(WARM_UP_SECONDS + SECONDS) * STEPS {
         if step == WARM_UP_SECONDS * STEPS {
             (fleet.bytes, fleet.frames) = (0, 0);
@@ -66,7 +66,7 @@
                 _ => scopes[random.random_range(0..customers)],
             };
             let host = random.random_range(0..hosts) as usize;
-            asked += 1;
+            requested += 1;
             if fleet.begin(host, &[scope]) {
                 admitted += 1;
                 running.push_back((step + REQUEST_STEPS, host, scope));
@@ -86,7 +86,7 @@
         per_host(fleet.frames),
         fleet.largest,
         accounts / hosts as usize,
-        f64::from(admitted) / f64::from(asked),
+        f64::from(admitted) / f64::from(requested),
     );
     assert!(per_host(fleet.bytes) < BYTES_PER_HOST);
     assert!(fleet.largest < MAX_BYTES);
--- a/crates/tinbank-routing/tests/limits/fleet.rs
+++ b/crates/tinbank-routing/tests/limits/fleet.rs
@@ -1,4 +1,4 @@
-//! Simulation of hosts that exchange asks and grants over a network with delay and loss, in virtual time.
+//! Simulation of hosts that exchange claim requests and grants over a network with delay and loss, in virtual time.
 
 use std::{
     collections::BTreeSet,
@@ -16,8 +16,8 @@
 use tinbank_routing::limit::{Keeper, Limiter, Scope, claim::MAX_GRANT_TTL, scope::Subject};
 
 pub const STEP: Duration = Duration::from_millis(10);
-/// Steps between two asks of a host.
-const ASK_INTERVAL_STEPS: u64 = 50;
+/// Steps between two claim requests of a host.
+const CLAIM_INTERVAL_STEPS: u64 = 50;
 
 pub struct Host {
     pub limiter: Limiter,
@@ -89,7 +89,8 @@
         self.hosts[host as usize].is_alive = false;
     }
 
-    /// Runs one second in which each host gets `arrivals` requests of a scope, evenly spaced. Returns the number admitted.
+    /// Runs one second in which each host gets `arrivals` requests of a scope, evenly spaced. Returns the number
+    /// admitted.
     pub fn second(&mut self, scope: &Scope, arrivals: &[u32]) -> u32 {
         let steps = (Duration::from_secs(1).as_millis() / STEP.as_millis()) as u32;
         let mut admitted = 0;
@@ -129,15 +130,15 @@
         self.deliver();
         for number in 0..self.hosts.len() {
             // Offsets the hosts' intervals from each other.
-            let is_ask_time = (self.steps + number as u64 * 7).is_multiple_of(ASK_INTERVAL_STEPS);
+            let is_claim_time = (self.steps + number as u64 * 7).is_multiple_of(CLAIM_INTERVAL_STEPS);
             let host = &mut self.hosts[number];
-            if host.is_alive && (is_ask_time || host.limiter.is_urgent()) {
-                if is_ask_time {
+            if host.is_alive && (is_claim_time || host.limiter.is_urgent()) {
+                if is_claim_time {
                     host.keeper.remove_expired(self.now);
                 }
                 let claim_requests = host.limiter.claim_requests(self.now);
-                for (keeper, ask) in claim_requests {
-                    self.deliver_or_send(number as id::Host, keeper, Message::ClaimRequest(ask));
+                for (keeper, claim_request) in claim_requests {
+                    self.deliver_or_send(number as id::Host, keeper, Message::ClaimRequest(claim_request));
                 }
             }
         }
@@ -158,8 +159,8 @@
             return;
         }
         match message {
-            Message::ClaimRequest(ask) => {
-                let answer = host.keeper.on_claim_request(writer(from), &ask, now);
+            Message::ClaimRequest(claim_request) => {
+                let answer = host.keeper.on_claim_request(writer(from), &claim_request, now);
                 if let Some(grant) = answer.grant {
                     self.deliver_or_send(to, from, Message::Grant(grant));
                 }
--- a/crates/tinbank-routing/tests/limits/main.rs
+++ b/crates/tinbank-routing/tests/limits/main.rs
@@ -1,5 +1,5 @@
-//! Limits over all hosts: total admissions stay within their bound under skewed and moving arrivals, delays, lost frames, keepers
-//! and hosts, and skewed arrivals reach the limit.
+//! Limits over all hosts: total admissions stay within their bound under skewed and moving arrivals, delays, lost
+//! frames, keepers and hosts, and skewed arrivals reach the limit.
 
 mod cost;
 mod fleet;
@@ -22,7 +22,8 @@
 
 const LIMIT: u32 = 100;
 
-/// Returns the bound of `docs/design/limits.md`: the limit over the time, a burst of one second, and one request per host.
+/// Returns the bound of `docs/design/limits.md`: the limit over the time, a burst of one second, and one request per
+/// host.
 fn bound(seconds: usize, hosts: u32) -> u32 {
     LIMIT * (seconds as u32 + 1) + hosts
 }
@@ -200,7 +201,7 @@
 
     assert!(
         admitted[0] >= 40,
-        "the first ask is answered at once: {admitted:?}"
+        "the first claim request is answered at once: {admitted:?}"
     );
     assert!(
         (97..=101).contains(&admitted[5]),
@@ -408,7 +409,8 @@
         .begin(&[customer, service], first.retry_at)
         .unwrap_err();
 
-    // A new account starts with one second's share. After the customer's retry time only the service's limit is reached.
+    // A new account starts with one second's share. After the customer's retry time only the service's limit is
+    // reached.
     assert_eq!(
         (first.scope, first.limit_kind),
         (Kind::Customer, LimitKind::Requests)
