--- a/crates/tinbank-routing/src/limit/claim.rs
+++ b/crates/tinbank-routing/src/limit/claim.rs
@@ -149,15 +149,15 @@
             return false;
         }
         self.unanswered = 0;
-        let holds = Duration::from_secs(part.ttl_s.into()).min(MAX_GRANT_TTL);
+        let ttl = Duration::from_secs(part.ttl_s.into()).min(MAX_GRANT_TTL);
         let amount = from_millis(part.millis);
         // The keeper can reassign the difference only after the next claim request confirms the lower grant.
         let is_lower = |grant: Grant| amount < grant.amount * (1.0 - CHANGE_OF_LIMIT);
         self.is_recalled = self.in_force(now).is_some_and(is_lower);
         self.grant = Some(Grant {
             amount,
-            until: last_claim.at + holds,
-            renew_at: last_claim.at + holds / 2,
+            until: last_claim.at + ttl,
+            renew_at: last_claim.at + ttl / 2,
         });
         self.is_recalled
     }
--- a/crates/tinbank-routing/src/table/mod.rs
+++ b/crates/tinbank-routing/src/table/mod.rs
@@ -260,9 +260,9 @@
             .by_pool
             .get(&request.service.pool)
             .map_or(&[][..], Vec::as_slice);
-        let (runners, candidates) = find_candidates(pool, request, now);
+        let (matching, candidates) = find_candidates(pool, request, now);
         let pick = pick::choose(&candidates, request.prefix).ok_or_else(|| refusal(request))?;
-        let entry = runners[pick.index];
+        let entry = matching[pick.index];
         let ticket = InFlight::begin(self.inner.clone(), entry.clone(), request.traffic);
         let reason = if ticket.is_probe() {
             "probe"
--- a/crates/tinbank-routing/tests/limits/main.rs
+++ b/crates/tinbank-routing/tests/limits/main.rs
@@ -277,14 +277,14 @@
     }
 
     fleet.stop_host(lost);
-    let silent = fleet.second(&scope, &[90, 90, 90]);
+    let before_expiry = fleet.second(&scope, &[90, 90, 90]);
     let wait = 2 * GRANT_TTL.as_secs();
     for _ in 0..wait {
         fleet.second(&scope, &[90, 90, 90]);
     }
     let after = fleet.second(&scope, &[90, 90, 90]);
 
-    assert!(silent <= LIMIT, "{silent}");
+    assert!(before_expiry <= LIMIT, "{before_expiry}");
     assert!((95..=101).contains(&after), "{after}");
 }
 
