--- a/crates/tinbank-batch/src/control/peers.rs
+++ b/crates/tinbank-batch/src/control/peers.rs
@@ -7,6 +7,6 @@
 
 impl Credits for Admission {
     fn told(&self, from: Writer, message: credit::Message) {
-        Self::told(self, from, message);
+        Self::on_message(self, from, message);
     }
 }
--- a/crates/tinbank-batch/src/owner/answer.rs
+++ b/crates/tinbank-batch/src/owner/answer.rs
@@ -129,7 +129,7 @@
 
     fn on_credit(&self, from: Writer, message: credit::Message) {
         if let Some(credits) = &self.credits {
-            credits.on_message(from, message);
+            credits.told(from, message);
         }
     }
 }
--- a/crates/tinbank-routing/tests/leaving.rs
+++ b/crates/tinbank-routing/tests/leaving.rs
@@ -36,7 +36,7 @@
     list(version, Some(State::Live))
 }
 
-fn leaving(version: u64) -> List {
+fn leaving_list(version: u64) -> List {
     list(version, Some(State::Leaving))
 }
 
@@ -62,7 +62,7 @@
 }
 
 #[yare::parameterized(
-    leaving = { leaving(6) },
+    leaving = { leaving_list(6) },
     no_longer_listed = { list(6, None) },
 )]
 fn departure_in_list_is_sent_to_peers(list: List) {
@@ -90,7 +90,7 @@
     let now = Instant::now();
     let mut tracker = tracker(5, now);
 
-    tracker.apply_list(&leaving(5), now);
+    tracker.apply_list(&leaving_list(5), now);
     let drained = tracker.is_leaving(ENGINE, now);
     let updates = tracker.updates(now);
     tracker.apply_list(&live(5), now);
@@ -119,7 +119,7 @@
     let mut tracker = tracker(5, now);
     tracker.record_leaving(ENGINE, now);
 
-    tracker.apply_list(&leaving(6), now);
+    tracker.apply_list(&leaving_list(6), now);
     assert!(tracker.is_leaving(ENGINE, now));
     tracker.apply_list(&live(9), now);
 
@@ -131,7 +131,7 @@
 fn update_from_before_return_is_ignored() {
     let now = Instant::now();
     let mut tracker = tracker(5, now);
-    tracker.apply_list(&leaving(6), now);
+    tracker.apply_list(&leaving_list(6), now);
     tracker.apply_list(&live(9), now);
 
     let is_new = tracker.apply_update(
@@ -237,7 +237,7 @@
                 Step::Read { host, behind } => {
                     let version = (platform.len() - 1).saturating_sub(behind);
                     let is_live = platform[version];
-                    let list = if is_live { live(version as u64) } else { leaving(version as u64) };
+                    let list = if is_live { live(version as u64) } else { leaving_list(version as u64) };
                     hosts[host].apply_list(&list, now);
                     references[host].read(version as u64, is_live);
                 }
