--- a/crates/tinbank-routing/src/limit/keeper.rs
+++ b/crates/tinbank-routing/src/limit/keeper.rs
@@ -50,7 +50,7 @@
 
 #[derive(Clone, Debug)]
 struct LimitState {
-    /// Time until which grants of another keeper may be valid.
+    /// Time from which no other keeper's grants are valid; `None` if there were none.
     exclusive_from: Option<Instant>,
     claimants: BTreeMap<Writer, Claimant>,
 }
@@ -178,7 +178,7 @@
 }
 
 impl LimitState {
-    /// Records a claim. It supersedes the earlier grants of the host, except for their expiry.
+    /// Records a claim, which replaces the earlier state of the host. The expiry of earlier grants is kept.
     fn record_claim(&mut self, from: Writer, round: u32, claim: &Claim, now: Instant) {
         self.claimants.retain(|_, claimant| now < claimant.until);
         let known = self.claimants.get(&from).copied();
