--- a/crates/tinbank-admission/src/controller.rs
+++ b/crates/tinbank-admission/src/controller.rs
@@ -9,13 +9,13 @@
 };
 
 use tinbank_base::{
-    frame::credit::{Grant, Load, CreditRequest},
+    frame::credit::{CreditRequest, Grant, Load},
     id,
 };
 
 use crate::{
     burst::Burst,
-    share::{Claimant, Allocation, Allocations, Weights},
+    share::{Allocation, Allocations, Claimant, Weights},
 };
 
 /// Validity of a grant, from its receipt.
@@ -82,20 +82,14 @@
     /// Time has passed. Expected every 100 ms.
     Tick,
     /// An online process reported its load.
-    Load {
-        from: id::Process,
-        load: Load,
-    },
+    Load { from: id::Process, load: Load },
     /// A batch process requests credits.
     CreditRequest {
         from: id::Process,
         request: CreditRequest,
     },
     /// The rank of this process for an engine changed.
-    Rank {
-        upstream: id::Upstream,
-        rank: Rank,
-    },
+    Rank { upstream: id::Upstream, rank: Rank },
     /// The engines that batch may use changed.
     Engines(Vec<Engine>),
     /// The customers' weights changed.
@@ -106,15 +100,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Sets its credits.
-    Grant {
-        to: id::Process,
-        grant: Grant,
-    },
+    Grant { to: id::Process, grant: Grant },
     /// Caps its credits for a while.
-    Withdraw {
-        to: id::Process,
-        grant: Grant,
-    },
+    Withdraw { to: id::Process, grant: Grant },
 }
 
 /// The state machine of the controller, for all engines.
@@ -389,7 +377,9 @@
             holder.credits = credits;
             holder.renew_at = now + RENEWAL_INTERVAL;
             if credits > 0 {
-                holder.outstanding.push((credits, now + GRANT_TTL + MAX_TRANSIT_TIME));
+                holder
+                    .outstanding
+                    .push((credits, now + GRANT_TTL + MAX_TRANSIT_TIME));
             }
             let grant = Grant {
                 upstream,
--- a/crates/tinbank-admission/src/credit_requests.rs
+++ b/crates/tinbank-admission/src/credit_requests.rs
@@ -66,7 +66,12 @@
     }
 
     /// Returns the credit requests to send now. `engines` and `processes` are the numbers of each in the fleet.
-    pub(crate) fn take_due(&mut self, engines: usize, processes: usize, now: Instant) -> Vec<CreditRequest> {
+    pub(crate) fn take_due(
+        &mut self,
+        engines: usize,
+        processes: usize,
+        now: Instant,
+    ) -> Vec<CreditRequest> {
         for entry in self.entries.values_mut() {
             if now >= entry.last_requested + IDLE_TIMEOUT {
                 entry.wanted = entry.running;
--- a/crates/tinbank-admission/src/gate.rs
+++ b/crates/tinbank-admission/src/gate.rs
@@ -31,5 +31,12 @@
 
     /// Sets the number of credits that requests of a customer could use at an engine, so that they are requested from
     /// its controller.
-    fn request_credits(&self, upstream: id::Upstream, customer: &str, wanted: u16, due: Instant, now: Instant);
+    fn request_credits(
+        &self,
+        upstream: id::Upstream,
+        customer: &str,
+        wanted: u16,
+        due: Instant,
+        now: Instant,
+    );
 }
--- a/crates/tinbank-admission/src/lib.rs
+++ b/crates/tinbank-admission/src/lib.rs
@@ -5,15 +5,15 @@
 
 mod burst;
 pub mod controller;
+mod credit_requests;
 pub mod gate;
 pub mod holder;
+mod load_reporter;
 mod rank;
 mod service;
 mod share;
-mod load_reporter;
-mod credit_requests;
 
 pub use controller::{Engine, Settings};
 pub use gate::{Gate, Pass};
-pub use service::Service;
 pub use load_reporter::LoadReporter;
+pub use service::Service;
--- a/crates/tinbank-admission/src/service.rs
+++ b/crates/tinbank-admission/src/service.rs
@@ -8,7 +8,7 @@
 };
 
 use tinbank_base::{
-    frame::credit::{Grant, Message, CreditRequest},
+    frame::credit::{CreditRequest, Grant, Message},
     id,
     peer::{Directory, Members, Peers},
     record::Writer,
@@ -20,10 +20,10 @@
 
 use crate::{
     controller::{self, Controller, Engine, Rank, Settings},
+    credit_requests::CreditRequests,
     gate::{Gate, Pass},
     holder::{self, Holder, PassId},
     rank,
-    credit_requests::CreditRequests,
 };
 
 /// Interval between ticks of both state machines.
@@ -142,7 +142,9 @@
         now: Instant,
     ) {
         let mut shared = lock(&self.shared);
-        shared.credit_requests.set_wanted(upstream, customer, wanted, due, now);
+        shared
+            .credit_requests
+            .set_wanted(upstream, customer, wanted, due, now);
     }
 }
 
@@ -158,7 +160,9 @@
     fn drop(&mut self) {
         let mut shared = lock(&self.shared);
         shared.holder.leave(self.upstream, self.pass);
-        shared.credit_requests.on_leave(self.upstream, &self.customer);
+        shared
+            .credit_requests
+            .on_leave(self.upstream, &self.customer);
         shared.withdrawals.remove(&self.pass);
     }
 }
@@ -269,7 +273,9 @@
             let mut shared = lock(&self.shared);
             let actions = shared.holder.tick(now);
             shared.perform(actions);
-            shared.credit_requests.take_due(self.engines.len(), self.ready.len(), now)
+            shared
+                .credit_requests
+                .take_due(self.engines.len(), self.ready.len(), now)
         };
         self.send_credit_requests(credit_requests, now);
     }
@@ -358,8 +364,10 @@
                     let from = process;
                     self.control_engines(controller::Event::CreditRequest { from, request }, now);
                 } else {
-                    self.peers
-                        .send_credit(address, Message::CreditRequest([request].into_iter().collect()));
+                    self.peers.send_credit(
+                        address,
+                        Message::CreditRequest([request].into_iter().collect()),
+                    );
                 }
             }
         }
--- a/crates/tinbank-admission/src/share.rs
+++ b/crates/tinbank-admission/src/share.rs
@@ -35,18 +35,31 @@
 impl Allocations {
     /// Records a credit request. Credits granted before are kept, up to the number wanted now.
     pub(crate) fn apply_request(&mut self, claimant: Claimant, allocation: Allocation) {
-        let granted = self.allocations.get(&claimant).map_or(0, |allocation| allocation.credits);
+        let granted = self
+            .allocations
+            .get(&claimant)
+            .map_or(0, |allocation| allocation.credits);
         let credits = granted.min(allocation.wanted);
-        self.allocations.insert(claimant, Allocation { credits, ..allocation });
+        self.allocations.insert(
+            claimant,
+            Allocation {
+                credits,
+                ..allocation
+            },
+        );
     }
 
     /// Removes expired requests and their credits.
     pub(crate) fn expire(&mut self, now: Instant) {
-        self.allocations.retain(|_, allocation| allocation.expires > now);
+        self.allocations
+            .retain(|_, allocation| allocation.expires > now);
     }
 
     pub(crate) fn total(&self) -> u16 {
-        self.allocations.values().map(|allocation| allocation.credits).sum()
+        self.allocations
+            .values()
+            .map(|allocation| allocation.credits)
+            .sum()
     }
 
     /// Returns the credits of each batch process, 0 for those with a request but no credits.
@@ -80,7 +93,10 @@
     /// Takes one credit from the customer most over its share if the one furthest below, given that credit, would still
     /// have less in proportion to its weight.
     pub(crate) fn rebalance(&mut self, weights: &Weights) {
-        let (Some(over), Some(under)) = (self.most_over_share(weights), self.most_under_share(weights)) else {
+        let (Some(over), Some(under)) = (
+            self.most_over_share(weights),
+            self.most_under_share(weights),
+        ) else {
             return;
         };
         let level = |customer: &str, more: u64| {
@@ -96,9 +112,14 @@
     }
 
     fn most_over_share(&self, weights: &Weights) -> Option<Claimant> {
-        let granted = self.allocations.iter().filter(|(_, allocation)| allocation.credits > 0);
+        let granted = self
+            .allocations
+            .iter()
+            .filter(|(_, allocation)| allocation.credits > 0);
         granted
-            .max_by_key(|(claimant, allocation)| (self.level(&claimant.customer, weights), allocation.due))
+            .max_by_key(|(claimant, allocation)| {
+                (self.level(&claimant.customer, weights), allocation.due)
+            })
             .map(|(claimant, _)| claimant.clone())
     }
 
@@ -117,7 +138,8 @@
     }
 
     fn level(&self, customer: &str, weights: &Weights) -> u64 {
-        u64::from(self.customer_credits(customer)) * 1_000_000 / u64::from(weight(weights, customer))
+        u64::from(self.customer_credits(customer)) * 1_000_000
+            / u64::from(weight(weights, customer))
     }
 
     fn customer_credits(&self, customer: &str) -> u16 {
--- a/crates/tinbank-admission/tests/bursts.rs
+++ b/crates/tinbank-admission/tests/bursts.rs
@@ -80,7 +80,10 @@
     world.set_online(1, 8);
     world.run(LATENCY * 2 + CANCEL_TIME + millis(2));
 
-    assert!(world.batch_total() <= SLOTS - 8, "the second controller withdrew");
+    assert!(
+        world.batch_total() <= SLOTS - 8,
+        "the second controller withdrew"
+    );
     world.run(GRANT_TTL + millis(200));
     assert_eq!(world.batch_total(), 0, "credits expired");
 }
@@ -174,7 +177,11 @@
     holder.set_controller(ENGINE, Some(batch(2)));
 
     world.run(LEARNING_PERIOD - millis(50));
-    assert_eq!(world.batch_total(), 0, "grants of the lost controller expired");
+    assert_eq!(
+        world.batch_total(),
+        0,
+        "grants of the lost controller expired"
+    );
 
     world.run(Duration::from_secs(8));
     assert!(world.batch_total() >= SLOTS - 4);
--- a/crates/tinbank-admission/tests/service.rs
+++ b/crates/tinbank-admission/tests/service.rs
@@ -7,7 +7,7 @@
 };
 
 use async_trait::async_trait;
-use tinbank_admission::{Engine, Gate, Pass, Service, Settings, LoadReporter};
+use tinbank_admission::{Engine, Gate, LoadReporter, Pass, Service, Settings};
 use tinbank_base::{
     frame::{
         credit::Message,
@@ -79,7 +79,12 @@
 fn start(lean_percent: u16) -> (Service, LoadReporter) {
     let loopback = Arc::new(Loopback::default());
     let own = writer(1, Role::Batch);
-    let service = Service::start(Settings { lean_percent }, own, loopback.clone(), directory());
+    let service = Service::start(
+        Settings { lean_percent },
+        own,
+        loopback.clone(),
+        directory(),
+    );
     *loopback.service.lock().unwrap() = Some(service.clone());
     let engine = Engine {
         upstream: ENGINE,
@@ -114,7 +119,10 @@
     );
     let mut passes = fill(&service, SLOTS.into()).await;
     let now = Instant::now();
-    assert!(service.enter(ENGINE, "north", now).is_none(), "all credits are in use");
+    assert!(
+        service.enter(ENGINE, "north", now).is_none(),
+        "all credits are in use"
+    );
 
     reporter.online(ENGINE, 1);
     let newest = passes.last_mut().unwrap();
--- a/crates/tinbank-admission/tests/world/mod.rs
+++ b/crates/tinbank-admission/tests/world/mod.rs
@@ -17,7 +17,7 @@
     clock::Stamp,
     frame::{
         Body, Datagram,
-        credit::{Grant, Load, Message, CreditRequest},
+        credit::{CreditRequest, Grant, Load, Message},
         datagram::{Key, seal},
     },
     id::{Process, Role},
@@ -67,7 +67,10 @@
         const MICROS: u64 = 1_790_000_000_000_000;
         let (from, message) = match self {
             Self::Load(from, load) => (from, Message::Load([*load].into_iter().collect())),
-            Self::CreditRequest(from, request) => (from, Message::CreditRequest([request.clone()].into_iter().collect())),
+            Self::CreditRequest(from, request) => (
+                from,
+                Message::CreditRequest([request.clone()].into_iter().collect()),
+            ),
             Self::Grant(from, grant) => (from, Message::Grant([*grant].into_iter().collect())),
             Self::Withdraw(from, grant) => {
                 (from, Message::Withdraw([*grant].into_iter().collect()))
@@ -266,7 +269,9 @@
         let now = self.now;
         match frame {
             Frame::Load(from, load) => self.control(to, Event::Load { from, load }),
-            Frame::CreditRequest(from, request) => self.control(to, Event::CreditRequest { from, request }),
+            Frame::CreditRequest(from, request) => {
+                self.control(to, Event::CreditRequest { from, request })
+            }
             Frame::Grant(..) | Frame::Withdraw(..) => {
                 let Some(process) = self.holders.get_mut(&to) else {
                     return;
--- a/crates/tinbank-batch/tests/support/engines.rs
+++ b/crates/tinbank-batch/tests/support/engines.rs
@@ -18,7 +18,7 @@
     },
     platform::weights::Artifact,
 };
-use tinbank_routing::choice::{RouteRequest, Choice, Router, Ticket};
+use tinbank_routing::choice::{Choice, RouteRequest, Router, Ticket};
 use tokio::sync::watch;
 
 /// A prompt with this word takes its engine's answer down each time.
--- a/crates/tinbank-load/src/slopes/controller.rs
+++ b/crates/tinbank-load/src/slopes/controller.rs
@@ -7,7 +7,7 @@
     controller::{Controller, Event, LEARNING_PERIOD, Rank},
 };
 use tinbank_base::{
-    frame::credit::{Load, CreditRequest},
+    frame::credit::{CreditRequest, Load},
     id::{self, Process, Role},
 };
 
--- a/crates/tinbank-load/src/slopes/fleet.rs
+++ b/crates/tinbank-load/src/slopes/fleet.rs
@@ -15,7 +15,7 @@
 use async_trait::async_trait;
 use cpu_time::ThreadTime;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
-use tinbank_admission::{Engine, Gate, Pass, Service, Settings, LoadReporter};
+use tinbank_admission::{Engine, Gate, LoadReporter, Pass, Service, Settings};
 use tinbank_base::{
     clock::Stamp,
     frame::{
@@ -341,7 +341,8 @@
             .retain(|(at, pass)| *at > now && !withdrawn(pass));
         let due = now + Duration::from_secs(3_600);
         for upstream in &self.used {
-            self.service.request_credits(*upstream, CUSTOMER, WANTED, due, now);
+            self.service
+                .request_credits(*upstream, CUSTOMER, WANTED, due, now);
             if let Some(pass) = self.service.enter(*upstream, CUSTOMER, now) {
                 self.passes.push((now + ITEM, pass));
             }
--- a/crates/tinbank-load/src/slopes/limits.rs
+++ b/crates/tinbank-load/src/slopes/limits.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use tinbank_base::frame::demand::{ClaimRequest, Claim};
+use tinbank_base::frame::demand::{Claim, ClaimRequest};
 use tinbank_configuration::limit::Online;
 use tinbank_routing::limit::{Limiter, Scope, scope::Subject};
 
--- a/crates/tinbank-online/src/control/mod.rs
+++ b/crates/tinbank-online/src/control/mod.rs
@@ -16,7 +16,12 @@
 use crate::{clock, context::Context};
 
 /// Starts the control tasks on the current runtime. They end with the process.
-pub(crate) fn start(core: &Core, ctx: &Arc<Context>, teller: LoadReporter, reports_per_second: u32) {
+pub(crate) fn start(
+    core: &Core,
+    ctx: &Arc<Context>,
+    teller: LoadReporter,
+    reports_per_second: u32,
+) {
     let table = &ctx.table;
     core.spawn(list(core.hosts(), table.clone()));
     upstreams::follow(core, table, reports_per_second);
--- a/crates/tinbank-online/src/gate.rs
+++ b/crates/tinbank-online/src/gate.rs
@@ -13,7 +13,7 @@
     record::Writer,
 };
 use tinbank_routing::{
-    limit::{Keeper, Limiter, Refusal, LimitKind, keeper::Answer, scope::Kind},
+    limit::{Keeper, LimitKind, Limiter, Refusal, keeper::Answer, scope::Kind},
     shed::{self, ActiveRequests},
 };
 
@@ -130,7 +130,10 @@
         let customer = &request.customer;
         let pressure = ctx.table.pressure(&request.service, now);
         let mut state = ctx.gate.state();
-        if !shed::admits(pressure, state.active.customer_load(&customer.name, customer.share)) {
+        if !shed::admits(
+            pressure,
+            state.active.customer_load(&customer.name, customer.share),
+        ) {
             return Err(overloaded());
         }
         let begun = state.limiter.begin(&request.scopes, now);
--- a/crates/tinbank-online/src/run/tests/limits.rs
+++ b/crates/tinbank-online/src/run/tests/limits.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use tinbank_base::{
-    frame::demand::{ClaimRequest, Claim, Grant, Message, Part, Recall},
+    frame::demand::{Claim, ClaimRequest, Grant, Message, Part, Recall},
     id,
     outcome::{Code, Ran},
     record::Writer,
 };
 use tinbank_configuration::limit::Online;
-use tinbank_routing::limit::{Scope, LimitKind, claim::MAX_GRANT_TTL, ring::Ring, scope};
+use tinbank_routing::limit::{LimitKind, Scope, claim::MAX_GRANT_TTL, ring::Ring, scope};
 
 use super::fixture::{Fixture, OTHER_HOST, request};
 use crate::{clock, control::limits, gate::Permit, request::Request};
@@ -177,7 +177,10 @@
     ask_all(&fixture);
 
     assert!(before.is_empty(), "{before:?}");
-    assert!(matches!(&fixture.peers.told()[..], [Message::ClaimRequest(_)]));
+    assert!(matches!(
+        &fixture.peers.told()[..],
+        [Message::ClaimRequest(_)]
+    ));
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/tinbank-peer/tests/requests.rs
+++ b/crates/tinbank-peer/tests/requests.rs
@@ -19,7 +19,7 @@
         Body,
         credit::{self, Load},
         datagram::{VERSION, seal},
-        demand::{self, ClaimRequest, Claim},
+        demand::{self, Claim, ClaimRequest},
         request::{Count, MAX_BYTES, Request, Response},
     },
     peer::{Answer, Error, Peers},
--- a/crates/tinbank-routing/src/leaving.rs
+++ b/crates/tinbank-routing/src/leaving.rs
@@ -134,7 +134,9 @@
             return Exclusion::UntilListed;
         }
         let notice = self.notices.get(&upstream);
-        notice.map_or(Exclusion::None, |notice| Exclusion::Until(notice.expires_at))
+        notice.map_or(Exclusion::None, |notice| {
+            Exclusion::Until(notice.expires_at)
+        })
     }
 
     /// Returns the updates to send to peers, ordered by upstream.
--- a/crates/tinbank-routing/src/lib.rs
+++ b/crates/tinbank-routing/src/lib.rs
@@ -12,5 +12,5 @@
 pub mod shed;
 pub mod table;
 
-pub use choice::{RouteRequest, Choice, Router};
+pub use choice::{Choice, RouteRequest, Router};
 pub use table::Table;
--- a/crates/tinbank-routing/src/limit/account.rs
+++ b/crates/tinbank-routing/src/limit/account.rs
@@ -59,7 +59,9 @@
                 };
                 self.spent.per_second(now) * arrivals_per_accepted
             }
-            LimitKind::Concurrency => f64::from(self.running) + self.over_concurrency.per_second(now),
+            LimitKind::Concurrency => {
+                f64::from(self.running) + self.over_concurrency.per_second(now)
+            }
         }
     }
 
@@ -86,14 +88,25 @@
         for limit_kind in LimitKind::ALL {
             if let Some(limit_value) = limit_kind.of(&self.limits) {
                 let demand = self.reported_demand(limit_kind, hosts, now);
-                is_new |= self.claims[limit_kind as usize].update_demand(demand, limit_value.into(), hosts, now);
+                is_new |= self.claims[limit_kind as usize].update_demand(
+                    demand,
+                    limit_value.into(),
+                    hosts,
+                    now,
+                );
             }
         }
         is_new
     }
 
     /// Returns the time to retry after a refusal, which is early if a grant may arrive.
-    fn retry_at(&self, limit_kind: LimitKind, wait: Duration, hosts: usize, now: Instant) -> Instant {
+    fn retry_at(
+        &self,
+        limit_kind: LimitKind,
+        wait: Duration,
+        hosts: usize,
+        now: Instant,
+    ) -> Instant {
         if hosts > 1 && self.claims[limit_kind as usize].awaits_answer(now) {
             return now + wait.min(FIRST_ANSWER_TIMEOUT);
         }
--- a/crates/tinbank-routing/src/limit/bucket.rs
+++ b/crates/tinbank-routing/src/limit/bucket.rs
@@ -32,7 +32,9 @@
 
     /// Adds tokens for the time since the last refill.
     pub fn refill(&mut self, rate: Rate, now: Instant) {
-        let passed = now.saturating_duration_since(self.refilled_at).as_secs_f64();
+        let passed = now
+            .saturating_duration_since(self.refilled_at)
+            .as_secs_f64();
         self.refilled_at = self.refilled_at.max(now);
         self.level = (self.level + passed * rate.per_second).min(rate.burst);
     }
--- a/crates/tinbank-routing/src/limit/claim.rs
+++ b/crates/tinbank-routing/src/limit/claim.rs
@@ -111,7 +111,8 @@
             return significant;
         };
         let change = (demand - last_claim.demand).abs();
-        let is_large = change > CHANGE_OF_LIMIT * limit && change > CHANGE_OF_DEMAND * last_claim.demand;
+        let is_large =
+            change > CHANGE_OF_LIMIT * limit && change > CHANGE_OF_DEMAND * last_claim.demand;
         is_large || (significant && (self.unanswered > 0 || now >= grant.renew_at))
     }
 
@@ -141,7 +142,10 @@
     /// Applies an answer. An answer to an earlier claim request than the last is dropped, since the keeper assumes that
     /// a later claim request supersedes it. Returns whether the keeper should be asked again at once.
     pub fn on_answer(&mut self, round: u32, part: Part, now: Instant) -> bool {
-        let Some(last_claim) = self.last_claim.filter(|last_claim| last_claim.round == round) else {
+        let Some(last_claim) = self
+            .last_claim
+            .filter(|last_claim| last_claim.round == round)
+        else {
             return false;
         };
         if part.ttl_s == 0 {
@@ -164,7 +168,10 @@
 
     /// Returns whether the claim can be discarded.
     pub fn is_idle(&self, now: Instant) -> bool {
-        self.in_force(now).is_none() && self.last_claim.is_none_or(|last_claim| last_claim.at + GRANT_TTL <= now)
+        self.in_force(now).is_none()
+            && self
+                .last_claim
+                .is_none_or(|last_claim| last_claim.at + GRANT_TTL <= now)
     }
 
     fn in_force(&self, now: Instant) -> Option<Grant> {
--- a/crates/tinbank-routing/src/limit/demand.rs
+++ b/crates/tinbank-routing/src/limit/demand.rs
@@ -27,7 +27,8 @@
 
 /// Returns the byte budget of one host for claim requests, and as much again for answers.
 pub fn budget(hosts: usize) -> Rate {
-    let per_second = (FLEET_BYTES_PER_SECOND / hosts.max(1) as f64).clamp(MIN_HOST_BYTES_PER_SECOND, MAX_HOST_BYTES_PER_SECOND);
+    let per_second = (FLEET_BYTES_PER_SECOND / hosts.max(1) as f64)
+        .clamp(MIN_HOST_BYTES_PER_SECOND, MAX_HOST_BYTES_PER_SECOND);
     Rate {
         per_second,
         // Enough for several large frames.
--- a/crates/tinbank-routing/src/limit/keeper.rs
+++ b/crates/tinbank-routing/src/limit/keeper.rs
@@ -7,7 +7,7 @@
 
 use smallvec::SmallVec;
 use tinbank_base::{
-    frame::demand::{ClaimRequest, Claim, Grant, Part, Recall},
+    frame::demand::{Claim, ClaimRequest, Grant, Part, Recall},
     id,
     record::Writer,
 };
@@ -87,7 +87,12 @@
     }
 
     /// Handles a claim request.
-    pub fn on_claim_request(&mut self, from: Writer, claim_request: &ClaimRequest, now: Instant) -> Answer {
+    pub fn on_claim_request(
+        &mut self,
+        from: Writer,
+        claim_request: &ClaimRequest,
+        now: Instant,
+    ) -> Answer {
         let own = self.own.process.host;
         let keeps = |claim: &Claim| self.ring.keeper(claim.limit) == Some(own);
         if !claim_request.claims.iter().all(keeps) {
@@ -98,10 +103,13 @@
         let hosts = self.ring.hosts().len();
         let parts = claim_request.claims.iter().map(|claim| {
             let ring = &self.ring;
-            let state = self.limits.entry(claim.limit).or_insert_with(|| LimitState {
-                exclusive_from: ring.exclusive_from(claim.limit, own),
-                claimants: BTreeMap::new(),
-            });
+            let state = self
+                .limits
+                .entry(claim.limit)
+                .or_insert_with(|| LimitState {
+                    exclusive_from: ring.exclusive_from(claim.limit, own),
+                    claimants: BTreeMap::new(),
+                });
             state.record_claim(from, claim_request.round, claim, now);
             if !answers {
                 return None;
@@ -118,7 +126,12 @@
     }
 
     /// Returns the recalls that a claim request makes necessary.
-    fn recalls(&mut self, from: Writer, claim_request: &ClaimRequest, now: Instant) -> Vec<(Writer, Recall)> {
+    fn recalls(
+        &mut self,
+        from: Writer,
+        claim_request: &ClaimRequest,
+        now: Instant,
+    ) -> Vec<(Writer, Recall)> {
         let hosts = self.ring.hosts().len();
         let mut recalls: BTreeMap<Writer, Recall> = BTreeMap::new();
         for claim in &claim_request.claims {
@@ -153,7 +166,10 @@
 
     /// Returns the number of pairs of a limit and a host with a claim.
     pub fn claimants(&self) -> usize {
-        self.limits.values().map(|state| state.claimants.len()).sum()
+        self.limits
+            .values()
+            .map(|state| state.claimants.len())
+            .sum()
     }
 
     fn may_answer(&mut self, from: Writer, claim_request: &ClaimRequest, now: Instant) -> bool {
@@ -172,7 +188,8 @@
 
     /// Returns the validity of grants, which grows with the number of claimants to limit the rate of renewals.
     fn grant_ttl(&self) -> Duration {
-        let renewals = u32::try_from(self.claimants()).unwrap_or(u32::MAX) / TARGET_ANSWERS_PER_SECOND;
+        let renewals =
+            u32::try_from(self.claimants()).unwrap_or(u32::MAX) / TARGET_ANSWERS_PER_SECOND;
         Duration::from_secs((2 * u64::from(renewals)).min(MAX_GRANT_TTL.as_secs())).max(GRANT_TTL)
     }
 }
@@ -203,13 +220,21 @@
     }
 
     fn pool(&self) -> f64 {
-        let limit_value = self.claimants.values().map(|claimant| claimant.limit_value).min();
+        let limit_value = self
+            .claimants
+            .values()
+            .map(|claimant| claimant.limit_value)
+            .min();
         share::pool(limit_value.unwrap_or(0).into())
     }
 
     /// Returns the amount that a host should get.
     fn target(&self, claimant: &Claimant, hosts: usize) -> f64 {
-        let total: f64 = self.claimants.values().map(|claimant| claimant.demand).sum();
+        let total: f64 = self
+            .claimants
+            .values()
+            .map(|claimant| claimant.demand)
+            .sum();
         let demand = share::Demand {
             own: claimant.demand,
             others: (total - claimant.demand).max(0.0),
@@ -225,8 +250,10 @@
         let Some(claimant) = self.claimants.get(&from) else {
             return Vec::new();
         };
-        let lack = |claimant: &Claimant| self.target(claimant, hosts) * NEAR_TARGET - claimant.outstanding;
-        let excess = |claimant: &Claimant| claimant.outstanding * NEAR_TARGET - self.target(claimant, hosts);
+        let lack =
+            |claimant: &Claimant| self.target(claimant, hosts) * NEAR_TARGET - claimant.outstanding;
+        let excess =
+            |claimant: &Claimant| claimant.outstanding * NEAR_TARGET - self.target(claimant, hosts);
         let outstanding = self.claimants.values().map(|claimant| claimant.outstanding);
         let left = self.pool() - outstanding.sum::<f64>();
         let urgency: &dyn Fn(&Claimant) -> f64 = if lack(claimant) > 0.0 {
@@ -236,10 +263,14 @@
         } else {
             return Vec::new();
         };
-        let may_be_recalled =
-            |claimant: &Claimant| claimant.recalled.is_none_or(|at| at + MIN_RECALL_INTERVAL <= now);
+        let may_be_recalled = |claimant: &Claimant| {
+            claimant
+                .recalled
+                .is_none_or(|at| at + MIN_RECALL_INTERVAL <= now)
+        };
         let others = self.claimants.iter();
-        let others = others.filter(|(writer, claimant)| **writer != from && may_be_recalled(claimant));
+        let others =
+            others.filter(|(writer, claimant)| **writer != from && may_be_recalled(claimant));
         let mut selected: Vec<(f64, Writer)> = others
             .map(|(writer, claimant)| (urgency(claimant), *writer))
             .filter(|(urgency, _)| *urgency > 0.0)
@@ -268,7 +299,8 @@
         }
         let pool = self.pool();
         let others = || self.claimants.iter().filter(|(writer, _)| **writer != from);
-        let sum = |of: fn(&Claimant) -> f64| others().map(|(_, claimant)| of(claimant)).sum::<f64>();
+        let sum =
+            |of: fn(&Claimant) -> f64| others().map(|(_, claimant)| of(claimant)).sum::<f64>();
         let target = self.target(&claimant, hosts);
         let left = (pool - sum(|claimant| claimant.outstanding)).max(0.0);
         let held = claimant.outstanding;
--- a/crates/tinbank-routing/src/limit/limiter.rs
+++ b/crates/tinbank-routing/src/limit/limiter.rs
@@ -6,7 +6,7 @@
 };
 
 use tinbank_base::{
-    frame::demand::{ClaimRequest, Claim as ClaimFrame, Grant, Recall},
+    frame::demand::{Claim as ClaimFrame, ClaimRequest, Grant, Recall},
     id,
 };
 
@@ -15,7 +15,7 @@
     bucket::Bucket,
     demand::{CLAIM_BYTES, FRAME_BYTES, MAX_CLAIMS, budget, millis},
     ring::Ring,
-    scope::{self, Kind, Scope, LimitKind},
+    scope::{self, Kind, LimitKind, Scope},
 };
 
 /// Interval at which idle accounts are removed.
@@ -159,7 +159,9 @@
             let Some(keeper) = self.ring.keeper(due.key) else {
                 break;
             };
-            let known = claim_requests.iter().position(|(known, _)| *known == keeper);
+            let known = claim_requests
+                .iter()
+                .position(|(known, _)| *known == keeper);
             let frame = if known.is_some() { 0.0 } else { FRAME_BYTES };
             let price = frame + CLAIM_BYTES;
             let is_full = known.is_some_and(|place| claim_requests[place].1.len() >= MAX_CLAIMS);
@@ -172,7 +174,8 @@
                 None => claim_requests.push((keeper, vec![due])),
             }
         }
-        claim_requests.into_iter()
+        claim_requests
+            .into_iter()
             .map(|(keeper, due)| (keeper, self.build_claim_request(keeper, &due, now)))
             .collect()
     }
@@ -256,7 +259,12 @@
         due
     }
 
-    fn build_claim_request(&mut self, keeper: id::Host, due: &[DueClaim], now: Instant) -> ClaimRequest {
+    fn build_claim_request(
+        &mut self,
+        keeper: id::Host,
+        due: &[DueClaim],
+        now: Instant,
+    ) -> ClaimRequest {
         self.round = self.round.wrapping_add(1);
         let round = self.round;
         let claims = due.iter().filter_map(|due| {
@@ -282,7 +290,8 @@
 
     /// Removes expired claim requests and idle accounts.
     fn clean_up(&mut self, now: Instant) {
-        self.pending.retain(|_, pending| now < pending.at + ANSWER_TIMEOUT);
+        self.pending
+            .retain(|_, pending| now < pending.at + ANSWER_TIMEOUT);
         if now < self.next_cleanup {
             return;
         }
--- a/crates/tinbank-routing/src/limit/mod.rs
+++ b/crates/tinbank-routing/src/limit/mod.rs
@@ -15,4 +15,4 @@
 
 pub use keeper::Keeper;
 pub use limiter::{Limiter, Refusal};
-pub use scope::{Scope, LimitKind};
+pub use scope::{LimitKind, Scope};
--- a/crates/tinbank-routing/src/retry.rs
+++ b/crates/tinbank-routing/src/retry.rs
@@ -121,7 +121,11 @@
         }
         let failure = self.failure(error, now);
         let is_overload = may_retry_now || failure.code == Code::Overloaded;
-        let wait = if is_overload { OVERLOAD_RETRY_AFTER } else { RETRY_AFTER };
+        let wait = if is_overload {
+            OVERLOAD_RETRY_AFTER
+        } else {
+            RETRY_AFTER
+        };
         Decision::Stop(Failure {
             retry_at: self.may_retry_later(failure.code).then(|| wall + wait),
             ..failure
--- a/crates/tinbank-routing/src/shed.rs
+++ b/crates/tinbank-routing/src/shed.rs
@@ -40,8 +40,8 @@
     if pressure.capacity == 0 || !reaches(FAIR_SHARE_PERCENT) {
         return true;
     }
-    let over_share =
-        (customer_load.own + 1).saturating_mul(customer_load.weights) > (customer_load.total + 1).saturating_mul(customer_load.weight);
+    let over_share = (customer_load.own + 1).saturating_mul(customer_load.weights)
+        > (customer_load.total + 1).saturating_mul(customer_load.weight);
     !reaches(FULL_PERCENT) && !over_share
 }
 
--- a/crates/tinbank-routing/src/table/mod.rs
+++ b/crates/tinbank-routing/src/table/mod.rs
@@ -31,7 +31,7 @@
     ticket::InFlight,
 };
 use crate::{
-    choice::{RouteRequest, Choice, Router},
+    choice::{Choice, RouteRequest, Router},
     health::Signal,
     leaving::Tracker,
     pick::{self, Candidate},
--- a/crates/tinbank-routing/tests/health.rs
+++ b/crates/tinbank-routing/tests/health.rs
@@ -3,7 +3,9 @@
 use std::time::{Duration, Instant};
 
 use tinbank_base::platform::upstream::Kind;
-use tinbank_routing::health::{Change, EJECTION_THRESHOLD, FIRST_EJECTION, Health, MAX_EJECTION, Signal};
+use tinbank_routing::health::{
+    Change, EJECTION_THRESHOLD, FIRST_EJECTION, Health, MAX_EJECTION, Signal,
+};
 use yare::parameterized;
 
 fn cut() -> Kind {
@@ -39,7 +41,10 @@
         health.record(Signal::Failing, now);
     }
 
-    assert_eq!(health.record(Signal::Failing, now), Change::Ejected(now + FIRST_EJECTION));
+    assert_eq!(
+        health.record(Signal::Failing, now),
+        Change::Ejected(now + FIRST_EJECTION)
+    );
 }
 
 #[test]
@@ -47,7 +52,10 @@
     let now = Instant::now();
     let mut health = Health::default();
 
-    assert_eq!(health.record(Signal::Unreachable, now), Change::Ejected(now + FIRST_EJECTION));
+    assert_eq!(
+        health.record(Signal::Unreachable, now),
+        Change::Ejected(now + FIRST_EJECTION)
+    );
 }
 
 #[test]
@@ -78,7 +86,10 @@
         times.push(until - now);
     }
 
-    assert_eq!(times[..3], [FIRST_EJECTION, FIRST_EJECTION * 2, FIRST_EJECTION * 4]);
+    assert_eq!(
+        times[..3],
+        [FIRST_EJECTION, FIRST_EJECTION * 2, FIRST_EJECTION * 4]
+    );
     assert_eq!(times.last(), Some(&MAX_EJECTION));
 }
 
--- a/crates/tinbank-routing/tests/leaving.rs
+++ b/crates/tinbank-routing/tests/leaving.rs
@@ -72,7 +72,10 @@
 
     reader.apply_list(&list, now);
     let updates = reader.updates(now);
-    let is_new: Vec<_> = updates.iter().map(|update| peer.apply_update(*update, now)).collect();
+    let is_new: Vec<_> = updates
+        .iter()
+        .map(|update| peer.apply_update(*update, now))
+        .collect();
 
     assert_eq!(is_new, [true]);
     assert!(peer.is_leaving(ENGINE, now));
@@ -96,7 +99,10 @@
     tracker.apply_list(&live(5), now);
 
     assert!(drained);
-    assert!(updates.is_empty(), "drains are not sent to peers: {updates:?}");
+    assert!(
+        updates.is_empty(),
+        "drains are not sent to peers: {updates:?}"
+    );
     assert!(!tracker.is_leaving(ENGINE, now));
 }
 
--- a/crates/tinbank-routing/tests/limits/fleet.rs
+++ b/crates/tinbank-routing/tests/limits/fleet.rs
@@ -130,7 +130,8 @@
         self.deliver();
         for number in 0..self.hosts.len() {
             // Offsets the hosts' intervals from each other.
-            let is_claim_time = (self.steps + number as u64 * 7).is_multiple_of(CLAIM_INTERVAL_STEPS);
+            let is_claim_time =
+                (self.steps + number as u64 * 7).is_multiple_of(CLAIM_INTERVAL_STEPS);
             let host = &mut self.hosts[number];
             if host.is_alive && (is_claim_time || host.limiter.is_urgent()) {
                 if is_claim_time {
@@ -138,7 +139,11 @@
                 }
                 let claim_requests = host.limiter.claim_requests(self.now);
                 for (keeper, claim_request) in claim_requests {
-                    self.deliver_or_send(number as id::Host, keeper, Message::ClaimRequest(claim_request));
+                    self.deliver_or_send(
+                        number as id::Host,
+                        keeper,
+                        Message::ClaimRequest(claim_request),
+                    );
                 }
             }
         }
@@ -160,7 +165,9 @@
         }
         match message {
             Message::ClaimRequest(claim_request) => {
-                let answer = host.keeper.on_claim_request(writer(from), &claim_request, now);
+                let answer = host
+                    .keeper
+                    .on_claim_request(writer(from), &claim_request, now);
                 if let Some(grant) = answer.grant {
                     self.deliver_or_send(to, from, Message::Grant(grant));
                 }
--- a/crates/tinbank-routing/tests/limits/main.rs
+++ b/crates/tinbank-routing/tests/limits/main.rs
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 use tinbank_configuration::limit::Online;
 use tinbank_routing::limit::{
-    Limiter, Scope, LimitKind,
+    LimitKind, Limiter, Scope,
     bucket::{Bucket, Rate},
     claim::{GRANT_TTL, MAX_GRANT_TTL},
     ring::Ring,
@@ -319,7 +319,9 @@
         .collect();
 
     assert!(
-        admitted[2..].iter().all(|admitted| (24..=26).contains(admitted)),
+        admitted[2..]
+            .iter()
+            .all(|admitted| (24..=26).contains(admitted)),
         "{admitted:?}"
     );
 }
@@ -415,7 +417,10 @@
         (first.scope, first.limit_kind),
         (Kind::Customer, LimitKind::Requests)
     );
-    assert_eq!((later.scope, later.limit_kind), (Kind::Service, LimitKind::Concurrency));
+    assert_eq!(
+        (later.scope, later.limit_kind),
+        (Kind::Service, LimitKind::Concurrency)
+    );
 }
 
 #[test]
--- a/crates/tinbank-routing/tests/pick.rs
+++ b/crates/tinbank-routing/tests/pick.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use tinbank_base::id;
 use tinbank_routing::pick::{
-    self, AFFINITY, LOAD_BOUND_PERCENT, Candidate, FAR, LAST_RESORT, LEAST_LOADED,
+    self, AFFINITY, Candidate, FAR, LAST_RESORT, LEAST_LOADED, LOAD_BOUND_PERCENT,
 };
 use tinbank_test_support::property;
 
--- a/crates/tinbank-routing/tests/retry.rs
+++ b/crates/tinbank-routing/tests/retry.rs
@@ -8,7 +8,8 @@
     platform::upstream::{Error, Kind},
 };
 use tinbank_routing::retry::{
-    RETRY_AFTER, Attempts, Budget, Decision, MAX_ATTEMPTS, RATIO_MILLIS, OVERLOAD_RETRY_AFTER, RESERVE_MILLIS,
+    Attempts, Budget, Decision, MAX_ATTEMPTS, OVERLOAD_RETRY_AFTER, RATIO_MILLIS, RESERVE_MILLIS,
+    RETRY_AFTER,
 };
 use tinbank_test_support::property;
 use yare::parameterized;
@@ -160,7 +161,8 @@
     let mut attempts = Attempts::new(repeatable, now + Duration::from_secs(1));
     attempts.sent = MAX_ATTEMPTS;
 
-    let decision = attempts.record_failure(&error(ran, kind), &mut Budget::default(), now, UNIX_EPOCH);
+    let decision =
+        attempts.record_failure(&error(ran, kind), &mut Budget::default(), now, UNIX_EPOCH);
 
     let Decision::Stop(failure) = decision else {
         panic!("the attempts are used up");
--- a/crates/tinbank-routing/tests/table.rs
+++ b/crates/tinbank-routing/tests/table.rs
@@ -17,7 +17,9 @@
     },
 };
 use tinbank_configuration::{service::Service, template::Traffic};
-use tinbank_routing::{RouteRequest, Choice, Router as _, Table, health::FIRST_EJECTION, leaving::NOTICE_TTL};
+use tinbank_routing::{
+    Choice, RouteRequest, Router as _, Table, health::FIRST_EJECTION, leaving::NOTICE_TTL,
+};
 use yare::parameterized;
 
 const POOL: &str = "notes";
@@ -230,7 +232,9 @@
     let first = online(&table, now).expect("an engine is free");
     let left = first.target.upstream;
 
-    first.ticket.record_result(Err(&error(upstream::Kind::Leaving)), now);
+    first
+        .ticket
+        .record_result(Err(&error(upstream::Kind::Leaving)), now);
 
     let after = online(&table, now).expect("the other one is free");
     assert_ne!(after.target.upstream, left);
