--- a/crates/tinbank-load/src/slopes/controller.rs
+++ b/crates/tinbank-load/src/slopes/controller.rs
@@ -4,10 +4,10 @@
 
 use tinbank_admission::{
     Engine, Settings,
-    controller::{Controller, Event, LEARN, Rank},
+    controller::{Controller, Event, LEARNING_PERIOD, Rank},
 };
 use tinbank_base::{
-    frame::credit::{Load, Wish},
+    frame::credit::{CreditRequest, Load},
     id::{self, Process, Role},
 };
 
@@ -111,7 +111,7 @@
             controller.handle(load_of(upstream, online, 1), start);
         }
     }
-    let now = start + LEARN + TICK;
+    let now = start + LEARNING_PERIOD + TICK;
     for upstream in 1..=2 * OWN {
         for holder in 0..holders {
             controller.handle(wish_of(upstream, holder, 2), now);
@@ -138,12 +138,12 @@
 }
 
 fn wish_of(upstream: id::Upstream, holder: u32, wanted: u16) -> Event {
-    Event::Wish {
+    Event::CreditRequest {
         from: Process {
             host: holder + 1,
             role: Role::Batch,
         },
-        wish: Wish {
+        request: CreditRequest {
             upstream,
             customer: "moreton-basin".into(),
             wanted,
--- a/crates/tinbank-online/src/run/tests/limits.rs
+++ b/crates/tinbank-online/src/run/tests/limits.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use tinbank_base::{
-    frame::demand::{Ask, Claim, Grant, Message, Part, Recall},
+    frame::demand::{Claim, ClaimRequest, Grant, Message, Part, Recall},
     id,
     outcome::{Code, Ran},
     record::Writer,
 };
 use tinbank_configuration::limit::Online;
-use tinbank_routing::limit::{Scope, Which, claim::LONGEST_HOLD, ring::Ring, scope};
+use tinbank_routing::limit::{LimitKind, Scope, claim::MAX_GRANT_TTL, ring::Ring, scope};
 
 use super::fixture::{Fixture, OTHER_HOST, request};
 use crate::{clock, control::limits, gate::Permit, request::Request};
@@ -24,7 +24,7 @@
     let fixture = Fixture::new(1, 0);
     let hosts = [OWN_HOST, OTHER_HOST].into();
     fixture.ctx.gate.set_hosts(hosts, clock::now());
-    tokio::time::advance(LONGEST_HOLD).await;
+    tokio::time::advance(MAX_GRANT_TTL).await;
     fixture
 }
 
@@ -74,12 +74,12 @@
 
     ask_all(&fixture);
     let told = fixture.peers.told();
-    let [Message::Ask(Ask { round, claims })] = &told[..] else {
+    let [Message::ClaimRequest(ClaimRequest { round, claims })] = &told[..] else {
         panic!("one ask: {told:?}");
     };
     let part = Part {
         millis: 80_000,
-        holds_s: 10,
+        ttl_s: 10,
     };
     let parts = [part].into_iter().collect();
     let grant = Message::Grant(Grant {
@@ -92,7 +92,7 @@
     limits::told(&fixture.ctx, writer(OTHER_HOST), &grant);
     tokio::time::advance(Duration::from_millis(500)).await;
 
-    assert_eq!((claims[0].most, claims[0].held_millis), (LIMIT, 0));
+    assert_eq!((claims[0].limit_value, claims[0].held_millis), (LIMIT, 0));
     let even_part = LIMIT as usize / HOSTS;
     assert_eq!((at_first, by_stranger), (even_part, 0));
     assert_eq!(let_in(&fixture, &request), 40);
@@ -117,15 +117,15 @@
     let request = limited(OWN_HOST);
     let_in(&fixture, &request);
     ask_all(&fixture);
-    let limit = scope::limit(request.scopes[0].key, Which::Requests);
+    let limit = scope::limit(request.scopes[0].key, LimitKind::Requests);
     let claim = Claim {
         limit,
-        most: LIMIT,
+        limit_value: LIMIT,
         demand_millis: 100_000,
         held_millis: 0,
     };
     let ask = |round| {
-        Message::Ask(Ask {
+        Message::ClaimRequest(ClaimRequest {
             round,
             claims: [claim].into_iter().collect(),
         })
@@ -154,19 +154,19 @@
     let_in(&fixture, &request);
     ask_all(&fixture);
     let told = fixture.peers.told();
-    let [Message::Ask(Ask { round, .. })] = &told[..] else {
+    let [Message::ClaimRequest(ClaimRequest { round, .. })] = &told[..] else {
         panic!("one ask: {told:?}");
     };
     let part = Part {
         millis: 80_000,
-        holds_s: 10,
+        ttl_s: 10,
     };
     let grant = Grant {
         round: *round,
         parts: [part].into_iter().collect(),
     };
     limits::told(&fixture.ctx, writer(OTHER_HOST), &Message::Grant(grant));
-    let limit = scope::limit(request.scopes[0].key, Which::Requests);
+    let limit = scope::limit(request.scopes[0].key, LimitKind::Requests);
     let recall = Recall {
         limits: [limit].into_iter().collect(),
     };
@@ -177,7 +177,10 @@
     ask_all(&fixture);
 
     assert!(before.is_empty(), "{before:?}");
-    assert!(matches!(&fixture.peers.told()[..], [Message::Ask(_)]));
+    assert!(matches!(
+        &fixture.peers.told()[..],
+        [Message::ClaimRequest(_)]
+    ));
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/tinbank-routing/tests/retry.rs
+++ b/crates/tinbank-routing/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Decisions on sending again.
+//! Retry decisions.
 
 use std::time::{Duration, Instant, UNIX_EPOCH};
 
@@ -8,7 +8,8 @@
     platform::upstream::{Error, Kind},
 };
 use tinbank_routing::retry::{
-    ASK_AGAIN, Attempts, Budget, Decision, MAX_ATTEMPTS, RATIO_MILLIS, RECOVERY, RESERVE_MILLIS,
+    Attempts, Budget, Decision, MAX_ATTEMPTS, OVERLOAD_RETRY_AFTER, RATIO_MILLIS, RESERVE_MILLIS,
+    RETRY_AFTER,
 };
 use tinbank_test_support::property;
 use yare::parameterized;
@@ -48,16 +49,16 @@
     #![proptest_config(property::config(2_000))]
 
     #[test]
-    fn what_may_not_be_repeated_runs_at_most_once(failures in prop::collection::vec((ran(), kind()), 1..8)) {
+    fn unrepeatable_request_runs_at_most_once(failures in prop::collection::vec((ran(), kind()), 1..8)) {
         let now = Instant::now();
         let mut attempts = Attempts::new(false, now + Duration::from_secs(1));
         let mut budget = Budget::default();
         let mut may_have_run = 0;
         for (ran, kind) in failures {
-            attempts.send(&mut budget);
+            attempts.record_sent(&mut budget);
             may_have_run += u32::from(ran != Ran::No);
-            match attempts.fail(&error(ran, kind), &mut budget, now, UNIX_EPOCH) {
-                Decision::Again => prop_assert_eq!(may_have_run, 0),
+            match attempts.record_failure(&error(ran, kind), &mut budget, now, UNIX_EPOCH) {
+                Decision::Retry => prop_assert_eq!(may_have_run, 0),
                 Decision::Stop(failure) => {
                     prop_assert_eq!(failure.ran == Ran::No, may_have_run == 0);
                     break;
@@ -68,7 +69,7 @@
     }
 
     #[test]
-    fn not_run_is_said_only_if_no_attempt_may_have_run(
+    fn not_run_is_reported_only_if_no_attempt_may_have_run(
         repeatable: bool,
         failures in prop::collection::vec((ran(), kind()), 1..8),
     ) {
@@ -77,9 +78,9 @@
         let mut budget = Budget::default();
         let mut all_not_run = true;
         for (ran, kind) in failures {
-            attempts.send(&mut budget);
+            attempts.record_sent(&mut budget);
             all_not_run &= ran == Ran::No;
-            if let Decision::Stop(failure) = attempts.fail(&error(ran, kind), &mut budget, now, UNIX_EPOCH) {
+            if let Decision::Stop(failure) = attempts.record_failure(&error(ran, kind), &mut budget, now, UNIX_EPOCH) {
                 prop_assert_eq!(failure.ran == Ran::No, all_not_run);
                 break;
             }
@@ -88,40 +89,40 @@
     }
 
     #[test]
-    fn nothing_is_sent_again_after_the_deadline(ran in ran(), kind in kind()) {
+    fn nothing_is_retried_after_deadline(ran in ran(), kind in kind()) {
         let now = Instant::now();
         let mut attempts = Attempts::new(true, now);
         let mut budget = Budget::default();
-        attempts.send(&mut budget);
+        attempts.record_sent(&mut budget);
 
-        let decision = attempts.fail(&error(ran, kind), &mut budget, now, UNIX_EPOCH);
+        let decision = attempts.record_failure(&error(ran, kind), &mut budget, now, UNIX_EPOCH);
 
         prop_assert!(matches!(decision, Decision::Stop(_)));
     }
 
     #[test]
-    fn the_budget_bounds_what_is_sent_again(steps in prop::collection::vec(any::<bool>(), 0..600)) {
+    fn budget_bounds_retries(steps in prop::collection::vec(any::<bool>(), 0..600)) {
         let mut budget = Budget::default();
-        let (mut first, mut again) = (0_u64, 0_u64);
+        let (mut requests, mut retries) = (0_u64, 0_u64);
         for is_first in steps {
             if is_first {
                 budget.deposit();
-                first += 1;
+                requests += 1;
             } else {
-                again += u64::from(budget.withdraw());
+                retries += u64::from(budget.withdraw());
             }
-            prop_assert!(again * 1_000 <= RESERVE_MILLIS + first * RATIO_MILLIS);
+            prop_assert!(retries * 1_000 <= RESERVE_MILLIS + requests * RATIO_MILLIS);
         }
     }
 }
 
 #[test]
-fn a_stream_that_had_begun_is_never_not_run() {
+fn begun_stream_is_never_reported_as_not_run() {
     let now = Instant::now();
     let mut attempts = Attempts::new(true, now + Duration::from_secs(1));
     let mut budget = Budget::default();
-    attempts.send(&mut budget);
-    attempts.progress();
+    attempts.record_sent(&mut budget);
+    attempts.record_progress();
 
     let refused = error(
         Ran::No,
@@ -130,10 +131,10 @@
             message: String::new(),
         },
     );
-    let decision = attempts.fail(&refused, &mut budget, now, UNIX_EPOCH);
+    let decision = attempts.record_failure(&refused, &mut budget, now, UNIX_EPOCH);
 
     let Decision::Stop(failure) = decision else {
-        panic!("a rejected body is not sent again");
+        panic!("a rejected body is not retried");
     };
     assert_eq!(
         (failure.code, failure.ran),
@@ -142,14 +143,14 @@
 }
 
 #[parameterized(
-    full = { false, Ran::No, Kind::Full, Code::Overloaded, Some(RECOVERY) },
-    no_connection = { false, Ran::No, Kind::Connect(String::new()), Code::NoUpstream, Some(ASK_AGAIN) },
-    leaving = { false, Ran::No, Kind::Leaving, Code::NoUpstream, Some(ASK_AGAIN) },
-    cut_but_repeatable = { true, Ran::Unknown, Kind::Cut(String::new()), Code::UpstreamFailed, Some(ASK_AGAIN) },
+    full = { false, Ran::No, Kind::Full, Code::Overloaded, Some(OVERLOAD_RETRY_AFTER) },
+    no_connection = { false, Ran::No, Kind::Connect(String::new()), Code::NoUpstream, Some(RETRY_AFTER) },
+    leaving = { false, Ran::No, Kind::Leaving, Code::NoUpstream, Some(RETRY_AFTER) },
+    cut_but_repeatable = { true, Ran::Unknown, Kind::Cut(String::new()), Code::UpstreamFailed, Some(RETRY_AFTER) },
     outcome_unknown = { false, Ran::Unknown, Kind::Cut(String::new()), Code::OutcomeUnknown, None },
     late = { true, Ran::Unknown, Kind::Timeout, Code::Timeout, None },
 )]
-fn a_caller_that_is_given_up_on_is_told_when_to_come_back_if_that_is_safe(
+fn final_failure_has_retry_time_if_retry_is_safe(
     repeatable: bool,
     ran: Ran,
     kind: Kind,
@@ -160,17 +161,18 @@
     let mut attempts = Attempts::new(repeatable, now + Duration::from_secs(1));
     attempts.sent = MAX_ATTEMPTS;
 
-    let decision = attempts.fail(&error(ran, kind), &mut Budget::default(), now, UNIX_EPOCH);
+    let decision =
+        attempts.record_failure(&error(ran, kind), &mut Budget::default(), now, UNIX_EPOCH);
 
     let Decision::Stop(failure) = decision else {
-        panic!("it was sent as often as may be");
+        panic!("the attempts are used up");
     };
     assert_eq!(failure.code, code);
     assert_eq!(failure.retry_at, wait.map(|wait| UNIX_EPOCH + wait));
 }
 
 #[test]
-fn a_used_up_budget_sends_callers_away_for_longer() {
+fn exhausted_budget_lengthens_retry_time() {
     let now = Instant::now();
     let mut budget = Budget::default();
     while budget.withdraw() {}
@@ -178,12 +180,12 @@
     attempts.sent = 1;
 
     let refused = error(Ran::No, Kind::Connect(String::new()));
-    let decision = attempts.fail(&refused, &mut budget, now, UNIX_EPOCH);
+    let decision = attempts.record_failure(&refused, &mut budget, now, UNIX_EPOCH);
 
     let Decision::Stop(failure) = decision else {
         panic!("the budget is used up");
     };
-    assert_eq!(failure.retry_at, Some(UNIX_EPOCH + RECOVERY));
+    assert_eq!(failure.retry_at, Some(UNIX_EPOCH + OVERLOAD_RETRY_AFTER));
 }
 
 #[parameterized(
@@ -191,16 +193,16 @@
     repeatable = { Ran::Unknown, true, true },
     may_have_run = { Ran::Unknown, false, false },
 )]
-fn when_no_upstream_is_left_only_a_safe_resend_is_asked_for(
+fn exhausted_upstreams_give_retry_time_if_retry_is_safe(
     ran: Ran,
     repeatable: bool,
-    told: bool,
+    has_retry_time: bool,
 ) {
     let mut attempts = Attempts::new(repeatable, Instant::now());
     attempts.ran = ran;
-    let refusal = Failure::not_run(Code::NoUpstream, "none").retry_at(UNIX_EPOCH + ASK_AGAIN);
+    let refusal = Failure::not_run(Code::NoUpstream, "none").retry_at(UNIX_EPOCH + RETRY_AFTER);
 
     let failure = attempts.exhausted(refusal);
 
-    assert_eq!(failure.retry_at.is_some(), told);
+    assert_eq!(failure.retry_at.is_some(), has_retry_time);
 }
--- a/crates/tinbank-routing/tests/table.rs
+++ b/crates/tinbank-routing/tests/table.rs
@@ -1,4 +1,4 @@
-//! The table: what traffic threads and the control thread see of it.
+//! Table of upstreams, as used by traffic threads and the control thread.
 
 use std::{
     net::SocketAddr,
@@ -17,7 +17,9 @@
     },
 };
 use tinbank_configuration::{service::Service, template::Traffic};
-use tinbank_routing::{Ask, Choice, Router as _, Table, health::FIRST, leaving::HOLD};
+use tinbank_routing::{
+    Choice, RouteRequest, Router as _, Table, health::FIRST_EJECTION, leaving::NOTICE_TTL,
+};
 use yare::parameterized;
 
 const POOL: &str = "notes";
@@ -67,19 +69,19 @@
 
 fn table(engines: u32, now: Instant) -> Table {
     let table = Table::new("here", now);
-    table.list(&list(1, (1..=engines).map(engine).collect()), now);
+    table.apply_list(&list(1, (1..=engines).map(engine).collect()), now);
     table
 }
 
 fn choose(table: &Table, traffic: Traffic, tried: &[id::Upstream], now: Instant) -> Option<Choice> {
     let service = service();
-    let ask = Ask {
+    let request = RouteRequest {
         service: &service,
         traffic,
         prefix: 3,
         tried: SmallVec::from_slice(tried),
     };
-    table.choose(&ask, now).ok()
+    table.choose(&request, now).ok()
 }
 
 fn online(table: &Table, now: Instant) -> Option<Choice> {
@@ -95,7 +97,7 @@
 }
 
 #[test]
-fn a_choice_counts_as_in_flight_until_it_is_dropped() {
+fn choice_counts_as_in_flight_until_dropped() {
     let now = Instant::now();
     let table = table(1, now);
 
@@ -109,16 +111,16 @@
 }
 
 #[test]
-fn changes_of_online_counts_are_told_and_those_of_batch_are_not() {
+fn only_online_counts_are_reported_as_changed() {
     let now = Instant::now();
     let table = table(1, now);
 
     let batch = choose(&table, Traffic::Batch, &[], now);
-    let after_batch = table.take_changes();
+    let after_batch = table.take_online_changes();
     let online = online(&table, now);
-    let after_online = table.take_changes();
+    let after_online = table.take_online_changes();
     drop((batch, online));
-    let after_end = table.take_changes();
+    let after_end = table.take_online_changes();
 
     assert!(after_batch.is_empty());
     let load = |online| Load {
@@ -130,12 +132,12 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_listener_wakes_at_a_change() {
+async fn listener_is_notified_of_change() {
     let now = Instant::now();
     let table = table(2, now);
     let listener = tokio::spawn({
         let table = table.clone();
-        async move { table.changed().await }
+        async move { table.online_changed().await }
     });
 
     let choice = online(&table, now).expect("an engine is free");
@@ -145,12 +147,12 @@
 }
 
 #[test]
-fn counts_outlive_a_change_of_the_list() {
+fn counts_survive_change_of_list() {
     let now = Instant::now();
     let table = table(1, now);
     let choice = online(&table, now);
 
-    table.list(&list(2, vec![engine(1), engine(2)]), now);
+    table.apply_list(&list(2, vec![engine(1), engine(2)]), now);
     let during = table.in_flight(1, Traffic::Online);
     drop(choice);
 
@@ -159,7 +161,7 @@
 }
 
 #[test]
-fn upstreams_that_were_tried_are_avoided_to_the_last() {
+fn tried_upstreams_are_not_chosen_again() {
     let now = Instant::now();
     let table = table(4, now);
     let mut tried = Vec::new();
@@ -173,18 +175,18 @@
 }
 
 #[test]
-fn a_refusal_promises_that_nothing_ran_and_says_when_to_come_back() {
+fn refusal_states_not_run_and_retry_time() {
     let now = Instant::now();
     let table = table(0, now);
     let service = service();
-    let ask = Ask {
+    let request = RouteRequest {
         service: &service,
         traffic: Traffic::Online,
         prefix: 0,
         tried: SmallVec::new(),
     };
 
-    let failure = table.choose(&ask, now).expect_err("there is no engine");
+    let failure = table.choose(&request, now).expect_err("there is no engine");
 
     assert_eq!((failure.code, failure.ran), (Code::NoUpstream, Ran::No));
     assert!(failure.retry_at.is_some());
@@ -195,24 +197,24 @@
     another_kind = { Upstream { kind: Kind::Plain, ..engine(1) } },
     leaving = { Upstream { state: State::Leaving, ..engine(1) } },
 )]
-fn it_is_no_candidate(upstream: Upstream) {
+fn unsuitable_upstream_is_not_chosen(upstream: Upstream) {
     let now = Instant::now();
     let table = Table::new("here", now);
-    table.list(&list(1, vec![upstream]), now);
+    table.apply_list(&list(1, vec![upstream]), now);
 
     assert!(online(&table, now).is_none());
 }
 
 #[test]
-fn engines_known_to_lack_the_artifact_get_nothing_and_unheard_ones_come_last() {
+fn engine_without_artifact_is_excluded_and_unknown_one_is_last() {
     let now = Instant::now();
     let table = table(3, now);
     let loaded = Report {
         loaded: [artifact()].into_iter().collect(),
         ..Report::default()
     };
-    table.report(1, Report::default(), now);
-    table.report(2, loaded, now);
+    table.record_report(1, Report::default(), now);
+    table.record_report(2, loaded, now);
 
     let chosen: Vec<id::Upstream> = [vec![], vec![2], vec![2, 3]]
         .iter()
@@ -224,28 +226,30 @@
 }
 
 #[test]
-fn an_engine_that_says_it_leaves_is_out_at_once_and_the_sign_is_passed_on() {
+fn leaving_answer_excludes_engine_and_is_sent_to_peers() {
     let now = Instant::now();
     let table = table(2, now);
     let first = online(&table, now).expect("an engine is free");
     let left = first.target.upstream;
 
-    first.ticket.note(Err(&error(upstream::Kind::Leaving)), now);
+    first
+        .ticket
+        .record_result(Err(&error(upstream::Kind::Leaving)), now);
 
     let after = online(&table, now).expect("the other one is free");
     assert_ne!(after.target.upstream, left);
-    let word = Leaving {
+    let update = Leaving {
         upstream: left,
         list: 1,
     };
-    assert_eq!(table.leaving(now).as_slice(), [word]);
+    assert_eq!(table.leaving_updates(now).as_slice(), [update]);
 }
 
 #[test]
-fn a_sign_that_no_list_confirms_ends_without_a_new_list() {
+fn unconfirmed_leaving_expires_without_new_list() {
     let now = Instant::now();
     let table = table(1, now);
-    table.hear(
+    table.apply_leaving(
         Leaving {
             upstream: 1,
             list: 1,
@@ -253,12 +257,12 @@
         now,
     );
 
-    assert!(online(&table, now + HOLD - Duration::from_secs(1)).is_none());
-    assert!(online(&table, now + HOLD).is_some());
+    assert!(online(&table, now + NOTICE_TTL - Duration::from_secs(1)).is_none());
+    assert!(online(&table, now + NOTICE_TTL).is_some());
 }
 
 #[test]
-fn a_leaving_report_and_a_peer_s_word_count_alike() {
+fn leaving_report_and_peer_update_both_exclude() {
     let now = Instant::now();
     let table = table(2, now);
     let report = Report {
@@ -266,8 +270,8 @@
         ..Report::default()
     };
 
-    table.report(1, report, now);
-    let news = table.hear(
+    table.record_report(1, report, now);
+    let is_new = table.apply_leaving(
         Leaving {
             upstream: 2,
             list: 1,
@@ -275,48 +279,48 @@
         now,
     );
 
-    assert!(news);
+    assert!(is_new);
     assert!(online(&table, now).is_none());
 }
 
 #[test]
-fn an_ejected_engine_returns_by_one_probe_at_a_time() {
+fn ejected_engine_returns_after_single_probe() {
     let now = Instant::now();
     let table = table(2, now);
     let first = online(&table, now).expect("an engine is free");
     let ejected = first.target.upstream;
     first
         .ticket
-        .note(Err(&error(upstream::Kind::Connect(String::new()))), now);
+        .record_result(Err(&error(upstream::Kind::Connect(String::new()))), now);
     drop(first);
     let other = 3 - ejected;
 
     let during = online(&table, now).expect("the other one is free");
-    let later = now + FIRST;
+    let later = now + FIRST_EJECTION;
     let probe = choose(&table, Traffic::Online, &[other], later).expect("it may be probed");
-    let beside = choose(&table, Traffic::Online, &[], later).expect("the other one is free");
+    let concurrent = choose(&table, Traffic::Online, &[], later).expect("the other one is free");
 
     assert_eq!(during.target.upstream, other);
     assert_eq!((probe.target.upstream, probe.reason), (ejected, "probe"));
-    assert_eq!(beside.target.upstream, other);
-    drop((during, beside));
-    probe.ticket.note(Ok(()), later);
+    assert_eq!(concurrent.target.upstream, other);
+    drop((during, concurrent));
+    probe.ticket.record_result(Ok(()), later);
     drop(probe);
     let back = online(&table, later).expect("it is back");
     assert_eq!((back.target.upstream, back.reason), (ejected, "affinity"));
 }
 
 #[test]
-fn reports_are_asked_in_turn_though_some_engines_never_answer() {
+fn reports_are_polled_in_turn_without_answers() {
     let now = Instant::now();
     let table = table(6, now);
 
-    let asked: Vec<id::Upstream> = (0..6)
-        .flat_map(|second| table.ask_next(2, now + Duration::from_secs(second)))
+    let polled: Vec<id::Upstream> = (0..6)
+        .flat_map(|second| table.next_report_targets(2, now + Duration::from_secs(second)))
         .map(|target| target.upstream)
         .collect();
 
-    assert_eq!(asked, [1, 2, 3, 4, 5, 6, 1, 2, 3, 4, 5, 6]);
+    assert_eq!(polled, [1, 2, 3, 4, 5, 6, 1, 2, 3, 4, 5, 6]);
 }
 
 #[test]
@@ -330,7 +334,7 @@
         loaded: [artifact()].into_iter().collect(),
         ..Report::default()
     };
-    table.report(1, report, now);
+    table.record_report(1, report, now);
     let _choice = online(&table, now);
 
     let pressure = table.pressure(&service(), now);
