--- a/crates/tinbank-batch/src/http/context.rs
+++ b/crates/tinbank-batch/src/http/context.rs
@@ -21,7 +21,7 @@
 };
 use tinbank_timeline::Recorder;
 
-use crate::{asker::Asker, intake::Intake};
+use crate::{owner_client::OwnerClient, intake::Intake};
 
 /// Time to answer a question about a job.
 pub(super) const ASK_TIMEOUT: Duration = Duration::from_secs(10);
@@ -32,7 +32,7 @@
     /// Takes in jobs.
     pub intake: Intake,
     /// Asks owners of shards.
-    pub asker: Asker,
+    pub owner_client: OwnerClient,
     /// How many work shards the deployment has.
     pub shards: id::Shard,
     /// The configuration in force.
@@ -83,7 +83,7 @@
         request: Request,
     ) -> Result<Response, Failure> {
         let frames = self
-            .asker
+            .owner_client
             .ask(shard, request, until())
             .await
             .map_err(not_run);
--- a/crates/tinbank-batch/src/http/item.rs
+++ b/crates/tinbank-batch/src/http/item.rs
@@ -60,7 +60,7 @@
     let status = context.job(headers, &path.id).await?;
     let mut searches = Vec::with_capacity(status.head.shards.len());
     for shard in &status.head.shards {
-        let pages = Pages::new(context.asker.clone(), &status.head, *shard, context.shards);
+        let pages = Pages::new(context.owner_client.clone(), &status.head, *shard, context.shards);
         searches.push(find(pages.only(&path.custom_id)));
     }
     let mut found = stream::iter(searches).buffer_unordered(SHARDS_AT_ONCE);
--- a/crates/tinbank-batch/src/http/job.rs
+++ b/crates/tinbank-batch/src/http/job.rs
@@ -81,7 +81,7 @@
     let job = status.head.job;
     let shard = placement::shard_of_job(job, context.shards);
     let frames = context
-        .asker
+        .owner_client
         .ask(shard, Request::Cancel { job }, until())
         .await;
     // One that had ended before stays as it is; its state says so.
--- a/crates/tinbank-batch/src/http/submit.rs
+++ b/crates/tinbank-batch/src/http/submit.rs
@@ -21,7 +21,7 @@
     context::Context,
     view::{Counts, Job, JobState},
 };
-use crate::intake::{Order, Taken, order::Wish};
+use crate::intake::{Submission, Accepted, submission::SubmitOptions};
 
 /// Largest body of a job, in bytes; the intake's own limit is the same.
 const MAX_BODY_BYTES: usize = 4 << 30;
@@ -65,7 +65,7 @@
         return Err(Failure::not_run(Code::NotReady, message).into());
     }
     let customer = context.customer(headers)?;
-    let wish = Wish {
+    let options = SubmitOptions {
         service: &submit.service,
         due: submit.due.as_deref(),
         stream: caller::stream(headers)?,
@@ -73,10 +73,10 @@
         key: caller::idempotency_key(headers)?,
         length: length(headers),
     };
-    let order = Order::check(customer, &wish, SystemTime::now())?;
-    let taken = context.intake.take(&order, body.into_stream()).await;
-    note(context, &order, &taken);
-    let Taken { head, new } = taken?;
+    let submission = Submission::check(customer, &options, SystemTime::now())?;
+    let accepted = context.intake.take(&submission, body.into_stream()).await;
+    note(context, &submission, &accepted);
+    let Accepted { head, new } = accepted?;
     let status = match new {
         true => StatusCode::CREATED,
         false => StatusCode::OK,
@@ -90,16 +90,16 @@
     value.to_str().ok()?.parse().ok()
 }
 
-fn note(context: &Context, order: &Order, taken: &Result<Taken, Failure>) {
-    let job = taken.as_ref().ok().map(|taken| taken.head.job);
+fn note(context: &Context, submission: &Submission, accepted: &Result<Accepted, Failure>) {
+    let job = accepted.as_ref().ok().map(|accepted| accepted.head.job);
     let subject = Subject {
         job,
         ..Subject::default()
     };
-    let kind = match taken {
+    let kind = match accepted {
         Ok(_) => Kind::Accepted {
-            customer: order.customer.name.clone(),
-            service: order.service.clone(),
+            customer: submission.customer.name.clone(),
+            service: submission.service.clone(),
         },
         Err(failure) => Kind::Refused {
             code: failure.code,
@@ -107,7 +107,7 @@
         },
     };
     context.recorder.note(subject, kind);
-    let ran = match taken {
+    let ran = match accepted {
         Ok(_) => "accepted",
         Err(failure) if failure.ran == Ran::No => "not_run",
         Err(_) => "unknown",
--- a/crates/tinbank-batch/src/intake/cut.rs
+++ b/crates/tinbank-batch/src/intake/cut.rs
@@ -1,4 +1,5 @@
-//! Cuts a job's items into chunks of bounded count and size, since the log takes appends, not bytes, by the budget.
+//! Splits a job's items into chunks of bounded count and size. Items are batched because the log limits appends per
+//! second, not bytes.
 
 use tinbank_base::{
     id,
@@ -6,12 +7,12 @@
 };
 use tinbank_ledger::placement;
 
-/// Most items of a chunk.
+/// Maximum number of items in a chunk.
 pub const MAX_ITEMS: usize = placement::ITEMS_PER_CHUNK;
-/// Size, in bytes of bodies and names, from which a chunk is full.
+/// Size in bytes, over bodies and `custom_id`s, at which a chunk is closed.
 pub const FULL_BYTES: usize = 128 << 10;
 
-/// Collects items until a chunk is full.
+/// Collects items into chunks.
 #[derive(Debug)]
 pub struct Cutter {
     job: id::Job,
@@ -23,7 +24,7 @@
 }
 
 impl Cutter {
-    /// A cutter for one intake of a job.
+    /// Creates a cutter for one intake of a job.
     pub fn new(job: id::Job, intake: u64) -> Self {
         Self {
             job,
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Takes an item and gives a chunk when that one fills it.
+    /// Adds an item, and returns the chunk if the item fills it.
     pub fn push(&mut self, item: Item) -> Option<Chunk> {
         self.bytes += item.custom_id.len() + item.body.len();
         self.items.push(item);
@@ -43,12 +44,12 @@
         full.then(|| self.cut())
     }
 
-    /// Gives the last chunk, if any items are left.
+    /// Returns the last chunk, if any items are left.
     pub fn finish(&mut self) -> Option<Chunk> {
         (!self.items.is_empty()).then(|| self.cut())
     }
 
-    /// How many chunks were cut so far.
+    /// Returns the number of chunks cut so far.
     pub fn chunks(&self) -> id::Chunk {
         self.chunk
     }
--- a/crates/tinbank-batch/src/intake/failure.rs
+++ b/crates/tinbank-batch/src/intake/failure.rs
@@ -1,4 +1,4 @@
-//! What a caller is told when a job is not taken in.
+//! Errors returned to the caller when a job is not accepted.
 
 use std::time::{Duration, SystemTime};
 
@@ -9,14 +9,14 @@
 };
 use tinbank_log::writer;
 
-/// When a caller that was refused for want of room should come back.
+/// Delay after which a caller may retry a job that was rejected for lack of capacity.
 pub(super) const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-pub(super) fn broken(error: impl std::fmt::Display) -> Failure {
+pub(super) fn body_interrupted(error: impl std::fmt::Display) -> Failure {
     Failure::not_run(Code::BadRequest, format!("the body broke off: {error}"))
 }
 
-/// Whatever became of a chunk's append, no head names it.
+/// Error for a chunk that could not be appended. The job cannot run, since no head refers to the chunk.
 pub(super) fn chunk_failed(error: &writer::Error) -> Failure {
     Failure::not_run(
         Code::LogUnavailable,
@@ -27,12 +27,12 @@
 
 pub(super) fn head_failed(head: &Head, error: &writer::Error) -> Failure {
     if error.may_stand() {
-        return unknown(head, &error.to_string());
+        return commit_unknown(head, &error.to_string());
     }
     chunk_failed(error)
 }
 
-pub(super) fn unknown(head: &Head, reason: &str) -> Failure {
+pub(super) fn commit_unknown(head: &Head, reason: &str) -> Failure {
     let id = id::format_wide(head.job);
     let message = format!("it is not known whether job {id} was accepted: {reason}");
     Failure {
@@ -43,7 +43,7 @@
     .retry_at(SystemTime::now() + RETRY_AFTER)
 }
 
-/// The customer's limit of pending items would be passed.
+/// Error for a job that would exceed the customer's limit of pending items.
 pub(super) fn limit_reached(limit: u32, pending: u64) -> Failure {
     let message = format!(
         "the customer may have {limit} pending items, of which {pending} are taken; the job has more than the rest"
--- a/crates/tinbank-batch/src/intake/finding.rs
+++ b/crates/tinbank-batch/src/intake/finding.rs
@@ -1,30 +1,29 @@
-//! What is wrong with a job's body.
+//! Validation errors of a job's body.
 
 use tinbank_base::outcome::{Code, Failure};
 
-/// A fault in the body of a job, with its place.
+/// A validation error in the body of a job, with its line.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}: {kind}")]
 pub struct Finding {
-    /// Number of the line, from 1.
+    /// Line number, starting at 1.
     pub line: u64,
-    /// What is wrong there.
     pub kind: Kind,
 }
 
-/// Kinds of faults.
+/// Kinds of validation errors.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Kind {
-    /// Not JSON, or not of the expected form.
+    /// The line is not JSON or does not have the expected fields.
     #[error("{0}")]
     Malformed(String),
-    /// The body of the item is not an object.
+    /// The item's `body` is not a JSON object.
     #[error("`body` has to be a JSON object")]
     Body,
-    /// The name of the item is empty.
+    /// The item's `custom_id` is empty.
     #[error("`custom_id` is empty")]
     EmptyId,
-    /// The name of the item is too long.
+    /// The item's `custom_id` is too long.
     #[error("`custom_id` has {size} bytes, the limit is {limit}")]
     LongId {
         /// Its length, in bytes.
@@ -32,7 +31,7 @@
         /// The limit, in bytes.
         limit: usize,
     },
-    /// The name stands on an earlier line as well.
+    /// An earlier line has the same `custom_id`.
     #[error("`custom_id` {0:?} stands on an earlier line as well")]
     Duplicate(String),
     /// The line is too long.
@@ -47,13 +46,13 @@
         /// The limit.
         limit: u32,
     },
-    /// The body is too large.
+    /// The job's body is too large.
     #[error("a job takes at most {limit} bytes")]
     Bytes {
         /// The limit, in bytes.
         limit: u64,
     },
-    /// The body has no item.
+    /// The job's body has no items.
     #[error("the body has no item")]
     Empty,
 }
--- a/crates/tinbank-batch/src/intake/limit.rs
+++ b/crates/tinbank-batch/src/intake/limit.rs
@@ -1,15 +1,15 @@
-//! Bounds of one job's body.
+//! Limits on the body of one job.
 
-/// What one job may bring.
+/// Limits on the body of one job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Longest line, in bytes, without its line feed.
+    /// Maximum line length in bytes, excluding the line feed.
     pub line_bytes: usize,
-    /// Longest `custom_id`, in bytes.
+    /// Maximum length of a `custom_id` in bytes.
     pub custom_id_bytes: usize,
-    /// Most items of a job.
+    /// Maximum number of items.
     pub items: u32,
-    /// Largest body, in bytes.
+    /// Maximum size of the body in bytes.
     pub body_bytes: u64,
 }
 
--- a/crates/tinbank-batch/src/intake/line.rs
+++ b/crates/tinbank-batch/src/intake/line.rs
@@ -1,4 +1,4 @@
-//! Reads NDJSON as it comes in, line by line, in bounded memory. Pure: bytes in, items or a finding out.
+//! Incremental NDJSON parser with bounded memory. Pure: bytes in, items or a finding out.
 
 use std::{borrow::Cow, collections::HashSet};
 
@@ -9,7 +9,7 @@
 
 use super::{Finding, Limits, finding::Kind};
 
-/// What one line says.
+/// One line of the body.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Line<'a> {
@@ -21,40 +21,40 @@
     repeatable: Option<bool>,
 }
 
-/// An incremental reader of a job's body. After a finding it must not be used again.
+/// An incremental parser of a job's body. It must not be used again after it returned a finding.
 #[derive(Debug)]
 pub struct Parser {
     limits: Limits,
-    /// Whether items that don't say so may be repeated.
+    /// Whether items that do not set `repeatable` may run more than once.
     repeatable: bool,
-    /// The part of a line that has come so far.
-    rest: BytesMut,
-    /// Number of the line that `rest` belongs to, from 1.
+    /// The received part of the current line.
+    partial_line: BytesMut,
+    /// Number of the current line, starting at 1.
     line: u64,
     bytes: u64,
     items: u32,
-    /// 128 bits of the digest of each name; the names themselves would take too much memory.
-    seen: HashSet<u128>,
+    /// 128-bit digest prefixes of the `custom_id`s, to bound memory.
+    seen_ids: HashSet<u128>,
 }
 
 impl Parser {
-    /// A reader at the start of a body.
+    /// Creates a parser at the start of a body.
     pub fn new(limits: Limits, repeatable: bool) -> Self {
         Self {
             limits,
             repeatable,
-            rest: BytesMut::new(),
+            partial_line: BytesMut::new(),
             line: 1,
             bytes: 0,
             items: 0,
-            seen: HashSet::new(),
+            seen_ids: HashSet::new(),
         }
     }
 
-    /// Takes in a part of the body and appends the items of all lines that it ends to `items`.
+    /// Parses the next part of the body and appends the items of all completed lines to `items`.
     ///
     /// # Errors
-    /// The first fault, with the number of its line.
+    /// Returns the first validation error, with its line.
     pub fn push(&mut self, part: &[u8], items: &mut Vec<Item>) -> Result<(), Finding> {
         self.bytes += part.len() as u64;
         if self.bytes > self.limits.body_bytes {
@@ -70,10 +70,10 @@
         self.extend(last)
     }
 
-    /// Ends the body, whose last line may lack its line feed. Returns the number of items in all.
+    /// Ends the body; its last line may lack a line feed. Returns the total number of items.
     ///
     /// # Errors
-    /// A fault in the last line, or a body without items.
+    /// Returns a validation error if the last line is invalid or the body has no items.
     pub fn finish(&mut self, items: &mut Vec<Item>) -> Result<u32, Finding> {
         self.end_line(items)?;
         if self.items == 0 {
@@ -85,15 +85,15 @@
 
     fn extend(&mut self, piece: &[u8]) -> Result<(), Finding> {
         let limit = self.limits.line_bytes;
-        if self.rest.len() + piece.len() > limit {
+        if self.partial_line.len() + piece.len() > limit {
             return Err(self.finding(Kind::LongLine { limit }));
         }
-        self.rest.extend_from_slice(piece);
+        self.partial_line.extend_from_slice(piece);
         Ok(())
     }
 
     fn end_line(&mut self, items: &mut Vec<Item>) -> Result<(), Finding> {
-        let text = self.rest.split();
+        let text = self.partial_line.split();
         if !text.trim_ascii().is_empty() {
             items.push(self.item(&text)?);
         }
@@ -130,7 +130,7 @@
             return Err(self.finding(Kind::LongId { size, limit }));
         }
         let name = digest::prefix(&digest::of(id.as_bytes()));
-        if !self.seen.insert(name) {
+        if !self.seen_ids.insert(name) {
             return Err(self.finding(Kind::Duplicate(id.to_owned())));
         }
         Ok(())
@@ -144,7 +144,7 @@
     }
 }
 
-/// The library counts lines within the one line that it is given; only the column says something.
+/// Formats the error with its column only: serde_json sees one line at a time, so its line number is always 1.
 fn describe(error: &serde_json::Error) -> String {
     let text = error.to_string();
     let cut = text.rfind(" at line ").unwrap_or(text.len());
--- a/crates/tinbank-batch/src/intake/mod.rs
+++ b/crates/tinbank-batch/src/intake/mod.rs
@@ -1,6 +1,6 @@
-//! Takes in jobs: reads the body as a stream, cuts it into chunks, stores them, then commits the head.
+//! Accepts jobs: reads the body as a stream, splits it into chunks, appends them to the log, then commits the job's head.
 //!
-//! Nothing runs before the head counts, so an intake that ends early leaves only chunks that no head names; the
+//! Nothing runs before the head is committed. An interrupted intake leaves only chunks that no head refers to, and the
 //! fold drops them. See `docs/design/items.md`.
 
 pub mod cut;
@@ -8,13 +8,13 @@
 pub mod finding;
 pub mod limit;
 pub mod line;
-pub mod order;
 mod quota;
 mod resend;
-mod run;
+mod upload;
 pub mod store;
+pub mod submission;
 
 pub use finding::Finding;
 pub use limit::Limits;
-pub use order::Order;
-pub use store::{Intake, Taken};
+pub use store::{Accepted, Intake};
+pub use submission::Submission;
--- a/crates/tinbank-batch/src/intake/quota.rs
+++ b/crates/tinbank-batch/src/intake/quota.rs
@@ -1,4 +1,4 @@
-//! Holds a customer's jobs to its limit of pending items. Soft over hosts: see `docs/design/limits.md`.
+//! Enforces a customer's limit of pending items. The limit is approximate across hosts: see `docs/design/limits.md`.
 
 use std::{
     collections::HashMap,
@@ -9,23 +9,23 @@
 
 use super::failure::limit_reached;
 
-/// Items of jobs that are being committed here, by customer: no shard counts them yet.
+/// Counts, by customer, items of jobs that this process is committing and no shard counts yet.
 #[derive(Debug, Default)]
 pub(super) struct Quotas {
     committing: Mutex<HashMap<id::Customer, u64>>,
 }
 
-/// How much a customer may still have.
+/// A customer's limit of pending items and its current use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Quota {
-    /// Its limit.
+    /// Maximum number of pending items.
     pub(super) limit: u32,
-    /// What it has.
+    /// Number of pending items, including those being committed by this process.
     pub(super) pending: u64,
 }
 
 impl Quota {
-    /// Checks that so many items more are within the limit.
+    /// Checks that `items` further items stay within the limit.
     pub(super) fn check(self, items: id::Item) -> Result<(), Failure> {
         if self.pending + u64::from(items) <= u64::from(self.limit) {
             return Ok(());
@@ -35,8 +35,8 @@
 }
 
 impl Quotas {
-    /// The quota of a customer with so many items in shards.
-    pub(super) fn of(&self, customer: &str, limit: u32, pending: u64) -> Quota {
+    /// Returns the quota of a customer that has `pending` items in shards.
+    pub(super) fn quota_for(&self, customer: &str, limit: u32, pending: u64) -> Quota {
         let committing = self.lock().get(customer).copied().unwrap_or_default();
         Quota {
             limit,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Counts a job's items until the reservation is dropped, if they are within the limit.
+    /// Reserves a job's items until the reservation is dropped, if they are within the limit.
     pub(super) fn reserve(
         &self,
         customer: &str,
@@ -71,7 +71,7 @@
     }
 }
 
-/// Items that are being committed.
+/// Items counted as pending while their job is being committed.
 #[derive(Debug)]
 pub(super) struct Reservation<'a> {
     quotas: &'a Quotas,
--- a/crates/tinbank-batch/src/intake/resend.rs
+++ b/crates/tinbank-batch/src/intake/resend.rs
@@ -1,4 +1,4 @@
-//! A body that is only compared, since its job was taken in before.
+//! Compares a resent body with the job that was accepted earlier.
 
 use bytes::Bytes;
 use futures::{Stream, StreamExt as _};
@@ -9,17 +9,17 @@
     record::work::Head,
 };
 
-use super::{Taken, failure::broken};
+use super::{Accepted, failure::body_interrupted};
 
-/// Reads a body only to compare it.
-pub(super) async fn digest_of<E: std::fmt::Display>(
+/// Reads a body and returns its digest, without storing it.
+pub(super) async fn digest_body<E: std::fmt::Display>(
     mut body: impl Stream<Item = Result<Bytes, E>> + Unpin,
     limit: u64,
 ) -> Result<Digest, Failure> {
     let mut hasher = Sha256::new();
     let mut bytes = 0;
     while let Some(part) = body.next().await {
-        let part = part.map_err(broken)?;
+        let part = part.map_err(body_interrupted)?;
         bytes += part.len() as u64;
         if bytes > limit {
             let message = format!("a job takes at most {limit} bytes");
@@ -30,10 +30,10 @@
     Ok(hasher.finalize().into())
 }
 
-/// An earlier job with the same key: the same one if the body is the same.
-pub(super) fn same(head: Head, digest: Digest) -> Result<Taken, Failure> {
+/// Accepts a resend of the earlier job `head` if the digests match.
+pub(super) fn match_existing(head: Head, digest: Digest) -> Result<Accepted, Failure> {
     if head.body == digest {
-        return Ok(Taken { head, new: false });
+        return Ok(Accepted { head, new: false });
     }
     let message = "the idempotency key was used for another job";
     let help = "use a new key for a new job; a resend has to repeat service, due time and body";
--- a/crates/tinbank-batch/src/intake/order.rs
+++ b/crates/tinbank-batch/src/intake/submission.rs
@@ -1,4 +1,4 @@
-//! What a caller wants done, besides the items.
+//! Parameters of a submitted job, besides its items.
 
 use std::{sync::Arc, time::SystemTime};
 
@@ -12,40 +12,40 @@
     template::{Stream, Traffic},
 };
 
-/// Time until a job is due when neither the caller nor the stream says so.
+/// Time until a job is due if neither the caller nor the stream sets one.
 const DEFAULT_DUE: std::time::Duration = std::time::Duration::from_secs(24 * 3_600);
 
-/// A job as the caller ordered it.
+/// The validated parameters of a submitted job.
 #[derive(Clone, Debug)]
-pub struct Order {
-    /// Whose job it is.
+pub struct Submission {
+    /// The customer that owns the job.
     pub customer: Arc<Customer>,
-    /// Which service runs it.
+    /// The service that runs the items.
     pub service: id::Service,
-    /// Whether items that don't say so may be repeated.
+    /// Whether items that do not set `repeatable` may run more than once.
     pub repeatable: bool,
     /// The caller's idempotency key.
     pub key: Option<String>,
-    /// When it is due.
+    /// When the job is due.
     pub due: SystemTime,
-    /// The due time as the caller gave it; a resend has to give the same.
-    pub due_given: Option<String>,
-    /// When it came.
+    /// The due time as sent by the caller; a resend has to repeat it.
+    pub requested_due: Option<String>,
+    /// When the request was received.
     pub received: SystemTime,
-    /// Size of the body in bytes, if the caller gave it.
+    /// Size of the body in bytes, if the caller sent it.
     pub length: Option<u64>,
 }
 
-/// What a caller asks for, before it is checked.
+/// The parameters of a job as the caller sent them, before validation.
 #[derive(Clone, Debug, Default)]
-pub struct Wish<'a> {
-    /// Name of the service.
+pub struct SubmitOptions<'a> {
+    /// Name of the service that runs the items.
     pub service: &'a str,
-    /// When it is due, in the form of RFC 3339.
+    /// When the job is due, as an RFC 3339 timestamp.
     pub due: Option<&'a str>,
     /// Name of the customer's stream.
     pub stream: Option<&'a str>,
-    /// Whether items that don't say so may be repeated.
+    /// Whether items that do not set `repeatable` may run more than once.
     pub repeatable: Option<bool>,
     /// The idempotency key.
     pub key: Option<&'a str>,
@@ -53,47 +53,47 @@
     pub length: Option<u64>,
 }
 
-impl Order {
-    /// Checks a wish against the customer's configuration.
+impl Submission {
+    /// Validates the options against the customer's configuration.
     ///
     /// # Errors
-    /// An unknown service or stream, or a due time that can't be read.
+    /// Returns a failure for an unknown service or stream, or an invalid due time.
     pub fn check(
         customer: Arc<Customer>,
-        wish: &Wish<'_>,
+        options: &SubmitOptions<'_>,
         now: SystemTime,
     ) -> Result<Self, Failure> {
-        let service = customer.services.get(wish.service).cloned();
+        let service = customer.services.get(options.service).cloned();
         let Some(service) = service else {
-            let message = format!("there is no service {:?}", wish.service);
+            let message = format!("there is no service {:?}", options.service);
             let known: Vec<&str> = customer.services.keys().map(String::as_str).collect();
             let help = format!("the services are: {}", known.join(", "));
             return Err(Failure::not_run(Code::NotFound, message).help(help));
         };
-        let stream = wish
+        let stream = options
             .stream
-            .map(|name| stream(&customer, name, wish.service))
+            .map(|name| stream(&customer, name, options.service))
             .transpose()?;
         let allowed = stream.and_then(|stream| stream.timeout);
-        let due = match wish.due {
+        let due = match options.due {
             Some(text) => parse_due(text)?,
             None => now + allowed.unwrap_or(DEFAULT_DUE),
         };
         Ok(Self {
-            service: wish.service.to_owned(),
-            repeatable: wish.repeatable.unwrap_or(service.repeatable),
-            key: wish.key.map(str::to_owned),
+            service: options.service.to_owned(),
+            repeatable: options.repeatable.unwrap_or(service.repeatable),
+            key: options.key.map(str::to_owned),
             due,
-            due_given: wish.due.map(str::to_owned),
+            requested_due: options.due.map(str::to_owned),
             received: now,
-            length: wish.length,
+            length: options.length,
             customer,
         })
     }
 
-    /// Digest of all that a resend has to repeat.
+    /// Returns the digest of everything that a resend has to repeat.
     pub fn digest(&self, body: &Digest) -> Digest {
-        let due = self.due_given.as_deref().unwrap_or_default();
+        let due = self.requested_due.as_deref().unwrap_or_default();
         let repeatable = [u8::from(self.repeatable)];
         digest::of_fields(&[
             self.service.as_bytes(),
--- a/crates/tinbank-batch/src/intake/run.rs
+++ b/crates/tinbank-batch/src/intake/upload.rs
@@ -1,4 +1,4 @@
-//! Reads one body and appends its chunks while it comes in.
+//! Reads one job's body and appends its chunks to the log as they are received.
 
 use std::{
     collections::VecDeque,
@@ -20,25 +20,25 @@
     time,
 };
 
-use super::{Limits, Order, cut::Cutter, failure::chunk_failed, line::Parser, quota::Quota};
+use super::{Limits, Submission, cut::Cutter, failure::chunk_failed, line::Parser, quota::Quota};
 
-/// Chunks of one job that are being appended at once; the caller's body waits for them.
-const APPENDS_AT_ONCE: usize = 4;
-/// Chunks held until it is known how many shards the job is worth.
-const HELD_CHUNKS: usize = ITEMS_PER_SHARD as usize / ITEMS_PER_CHUNK;
-/// Shards of a job that is larger than what is held, if the caller doesn't say how large.
+/// Maximum concurrent appends of one job. Further reads of the body wait for them.
+const MAX_CONCURRENT_APPENDS: usize = 4;
+/// Chunks buffered until the number of shards to spread the job over is decided.
+const MAX_HELD_CHUNKS: usize = ITEMS_PER_SHARD as usize / ITEMS_PER_CHUNK;
+/// Number of shards of a job that exceeds the buffered chunks and has no `Content-Length`.
 const DEFAULT_SPREAD: u16 = 16;
-/// Time that an append waits for room in the log writer's buffer.
-const FULL_FOR: Duration = Duration::from_secs(5);
-/// Pause before an append is tried again that found the buffer full.
-const FULL_WAIT: Duration = Duration::from_millis(20);
+/// How long an append waits for space in the log writer's buffer.
+const BUFFER_FULL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Delay before retrying an append that found the buffer full.
+const BUFFER_FULL_BACKOFF: Duration = Duration::from_millis(20);
 
-/// One body being read.
-pub(super) struct Run<'a> {
+/// One job's body being received.
+pub(super) struct Upload<'a> {
     writer: &'a Writer,
     shards: id::Shard,
     quota: Option<Quota>,
-    order: &'a Order,
+    submission: &'a Submission,
     job: id::Job,
     intake_id: u64,
     parser: Parser,
@@ -47,19 +47,20 @@
     bytes: u64,
     items: Vec<work::Item>,
     count: id::Item,
-    /// Chunks that wait until the spread is known.
+    /// Chunks buffered until `spread` is known.
     held: VecDeque<Chunk>,
+    /// Number of shards that the job is spread over.
     spread: Option<u16>,
     appends: FuturesOrdered<JoinHandle<Result<id::Offset, writer::Error>>>,
 }
 
-impl<'a> Run<'a> {
+impl<'a> Upload<'a> {
     pub(super) fn new(
         writer: &'a Writer,
         shards: id::Shard,
         limits: Limits,
         quota: Option<Quota>,
-        order: &'a Order,
+        submission: &'a Submission,
         job: id::Job,
     ) -> Self {
         let intake_id = rand::random();
@@ -67,10 +68,10 @@
             writer,
             shards,
             quota,
-            order,
+            submission,
             job,
             intake_id,
-            parser: Parser::new(limits, order.repeatable),
+            parser: Parser::new(limits, submission.repeatable),
             cutter: Cutter::new(job, intake_id),
             hasher: Sha256::new(),
             bytes: 0,
@@ -82,7 +83,7 @@
         }
     }
 
-    pub(super) async fn part(&mut self, part: &[u8]) -> Result<(), Failure> {
+    pub(super) async fn push(&mut self, part: &[u8]) -> Result<(), Failure> {
         self.hasher.update(part);
         self.bytes += part.len() as u64;
         self.parser.push(part, &mut self.items)?;
@@ -90,7 +91,7 @@
             self.count += 1;
             self.quota.map_or(Ok(()), |quota| quota.check(self.count))?;
             if let Some(chunk) = self.cutter.push(item) {
-                self.chunk(chunk).await?;
+                self.push_chunk(chunk).await?;
             }
         }
         Ok(())
@@ -100,7 +101,7 @@
         let items = self.parser.finish(&mut self.items)?;
         for item in std::mem::take(&mut self.items) {
             if let Some(chunk) = self.cutter.push(item) {
-                self.chunk(chunk).await?;
+                self.push_chunk(chunk).await?;
             }
         }
         if let Some(chunk) = self.cutter.finish() {
@@ -110,41 +111,41 @@
         let spread = *self
             .spread
             .get_or_insert_with(|| placement::shards_for(items, shards));
-        self.store(spread).await?;
+        self.append_held(spread).await?;
         while let Some(result) = self.appends.next().await {
-            stored(result)?;
+            check_append(result)?;
         }
         let body = self.hasher.finalize().into();
         Ok(Head {
             job: self.job,
             intake: self.intake_id,
-            customer: self.order.customer.name.clone(),
-            service: self.order.service.clone(),
-            body: self.order.digest(&body),
+            customer: self.submission.customer.name.clone(),
+            service: self.submission.service.clone(),
+            body: self.submission.digest(&body),
             items,
             chunks: self.cutter.chunks(),
             shards: placement::shards_of_chunks(self.job, self.cutter.chunks(), spread, shards),
-            received: self.order.received,
-            due: self.order.due,
-            keep_until: self.order.received + self.order.customer.keep_results,
+            received: self.submission.received,
+            due: self.submission.due,
+            keep_until: self.submission.received + self.submission.customer.keep_results,
         })
     }
 
-    async fn chunk(&mut self, chunk: Chunk) -> Result<(), Failure> {
+    async fn push_chunk(&mut self, chunk: Chunk) -> Result<(), Failure> {
         self.held.push_back(chunk);
-        if self.spread.is_none() && self.held.len() > HELD_CHUNKS {
-            self.spread = Some(self.estimate());
+        if self.spread.is_none() && self.held.len() > MAX_HELD_CHUNKS {
+            self.spread = Some(self.estimate_spread());
         }
         match self.spread {
-            Some(spread) => self.store(spread).await,
+            Some(spread) => self.append_held(spread).await,
             None => Ok(()),
         }
     }
 
-    /// How many shards the job seems to be worth, by the size of its first items.
-    fn estimate(&self) -> u16 {
+    /// Estimates the number of shards for the job from the size of its first items.
+    fn estimate_spread(&self) -> u16 {
         let shards = self.shards;
-        let Some(length) = self.order.length else {
+        let Some(length) = self.submission.length else {
             return shards.min(DEFAULT_SPREAD);
         };
         let items = length.saturating_mul(u64::from(self.count)) / self.bytes.max(1);
@@ -152,17 +153,17 @@
         placement::shards_for(items, shards)
     }
 
-    async fn store(&mut self, spread: u16) -> Result<(), Failure> {
+    async fn append_held(&mut self, spread: u16) -> Result<(), Failure> {
         while let Some(chunk) = self.held.pop_front() {
-            if self.appends.len() == APPENDS_AT_ONCE
+            if self.appends.len() == MAX_CONCURRENT_APPENDS
                 && let Some(result) = self.appends.next().await
             {
-                stored(result)?;
+                check_append(result)?;
             }
             let shards = self.shards;
             let shard = placement::shard_of_chunk(self.job, chunk.chunk, spread, shards);
             let writer = self.writer.clone();
-            // A task of its own goes on while the next part of the body is awaited.
+            // Spawned so that the append proceeds while the next part of the body is awaited.
             let append =
                 tokio::spawn(async move { append(&writer, shard, Record::Chunk(chunk)).await });
             self.appends.push_back(append);
@@ -171,26 +172,26 @@
     }
 }
 
-/// Appends one record, waiting a while for room in the writer's buffer.
+/// Appends one record, retrying for a limited time while the writer's buffer is full.
 pub(super) async fn append(
     writer: &Writer,
     shard: id::Shard,
     record: Record,
 ) -> Result<id::Offset, writer::Error> {
     let stream = log::Stream::Work(shard);
-    let until = Instant::now() + FULL_FOR;
+    let until = Instant::now() + BUFFER_FULL_TIMEOUT;
     loop {
         let result = writer.append(stream, vec![record.clone()]).await;
         match result {
             Err(writer::Error::Full { .. }) if Instant::now() < until => {
-                time::sleep(FULL_WAIT).await;
+                time::sleep(BUFFER_FULL_BACKOFF).await;
             }
             result => return result,
         }
     }
 }
 
-fn stored(result: Result<Result<id::Offset, writer::Error>, JoinError>) -> Result<(), Failure> {
+fn check_append(result: Result<Result<id::Offset, writer::Error>, JoinError>) -> Result<(), Failure> {
     match result {
         Ok(Ok(_)) => Ok(()),
         Ok(Err(error)) => Err(chunk_failed(&error)),
--- a/crates/tinbank-batch/src/lib.rs
+++ b/crates/tinbank-batch/src/lib.rs
@@ -1,13 +1,13 @@
-//! Takes in batch jobs durably, runs their items and serves results.
+//! Stores batch jobs durably, runs their items and serves results.
 //!
-//! [`intake`] stores jobs, [`owner`] follows and owns work shards, [`runner`] sends items to upstreams, [`http`] is the
-//! callers' interface; [`server::Server`] is the whole process. See `docs/architecture.md`.
+//! [`intake`] accepts and stores jobs, [`owner`] follows and owns work shards, [`runner`] sends items to upstreams, [`http`]
+//! is the callers' interface, and [`server::Server`] is the whole process. See `docs/architecture.md`.
 
-pub mod asker;
 mod control;
 pub mod http;
 pub mod intake;
 pub mod owner;
+pub mod owner_client;
 pub mod pages;
 pub mod runner;
 pub mod server;
--- a/crates/tinbank-batch/src/asker.rs
+++ b/crates/tinbank-batch/src/owner_client.rs
@@ -1,4 +1,4 @@
-//! Asks the owner of a shard, wherever it is, and goes on asking while ownership moves.
+//! Client for shard owners: sends a request to the owner of a shard and retries while ownership moves.
 
 use std::{
     sync::Arc,
@@ -19,67 +19,67 @@
 
 use crate::owner::answer::Answerer;
 
-/// Wait after all that may know were asked in vain; it doubles with each further round.
-const FIRST_WAIT: Duration = Duration::from_millis(20);
-/// Longest wait between two rounds.
-const LONGEST_WAIT: Duration = Duration::from_millis(500);
-/// How long a member may be silent before the next one is asked besides it.
-const SILENCE: Duration = Duration::from_secs(1);
-/// When a caller is told to come back after nobody answered.
+/// Delay after the first round in which no member answered; it doubles with each further round.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
+/// Maximum delay between two rounds.
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
+/// How long a member may take to answer before the request is also sent to the next one.
+const HEDGE_DELAY: Duration = Duration::from_secs(1);
+/// Delay after which a caller may retry when no member answered.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
-/// Members in rank that are asked in each round.
-const ASKED: usize = 3;
+/// Maximum number of members that a round sends the request to, in rank order.
+const MAX_MEMBERS: usize = 3;
 
-/// Asks owners of shards. All its requests may be repeated.
+/// Sends requests to shard owners. All requests sent through it must be safe to repeat.
 #[derive(Clone, Debug)]
-pub struct Asker {
-    /// Who we are.
+pub struct OwnerClient {
+    /// This process.
     pub me: Writer,
-    /// Who is there.
+    /// The cluster's members.
     pub directory: Arc<dyn Directory>,
-    /// Reaches the others.
+    /// Connections to other processes.
     pub peers: Arc<dyn Peers>,
-    /// Answers when we are the one to ask.
+    /// Answers requests for shards that this process owns.
     pub answerer: Answerer,
 }
 
-impl Asker {
-    /// Asks until there is an answer. A member that is silent does not hold the others up: they are asked besides it,
-    /// and the first final word counts.
+impl OwnerClient {
+    /// Sends the request until there is an answer. If a member does not respond, the next ones are asked concurrently, and
+    /// the first final answer wins.
     ///
     /// # Errors
-    /// What the owner said, or that none could be asked in time; then the request may have taken effect.
+    /// Returns the owner's failure, or `NotReady` if no owner answered in time; the request may then have taken effect.
     pub async fn ask(
         &self,
         shard: id::Shard,
         request: Request,
         until: Instant,
     ) -> Result<Vec<Response>, Failure> {
-        let mut wait = FIRST_WAIT;
+        let mut backoff = INITIAL_BACKOFF;
         let mut open = FuturesUnordered::new();
-        let mut silent: SmallVec<[Writer; 4]> = SmallVec::new();
+        let mut unanswered: SmallVec<[Writer; 4]> = SmallVec::new();
         while Instant::now() < until {
             let mut members = self.ranked(shard);
-            members.retain(|member| !silent.contains(&member.writer));
-            let pauses = members.iter().map(|_| SILENCE).chain([wait]);
+            members.retain(|member| !unanswered.contains(&member.writer));
+            let pauses = members.iter().map(|_| HEDGE_DELAY).chain([backoff]);
             let pauses: SmallVec<[Duration; 4]> = pauses.collect();
             let mut members = members.into_iter();
             for pause in pauses {
                 if let Some(member) = members.next() {
-                    silent.push(member.writer);
+                    unanswered.push(member.writer);
                     open.push(self.ask_member(member, &request, until));
                 }
                 let pause = until.min(Instant::now() + pause);
-                let answered = time::timeout_at(pause.into(), heard(&mut open)).await;
+                let answered = time::timeout_at(pause.into(), next_answer(&mut open)).await;
                 let Ok((writer, frames)) = answered else {
                     continue;
                 };
-                silent.retain(|other| *other != writer);
-                if let Some(answer) = final_word(frames) {
+                unanswered.retain(|other| *other != writer);
+                if let Some(answer) = final_answer(frames) {
                     return answer;
                 }
             }
-            wait = (wait * 2).min(LONGEST_WAIT);
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
         let message = format!("no process answers for shard {shard}");
         Err(Failure::unknown(Code::NotReady, message)
@@ -87,7 +87,7 @@
             .retry_at(SystemTime::now() + RETRY_AFTER))
     }
 
-    /// How many items of a customer are pending at all processes together. One that gives no answer counts as none.
+    /// Returns the customer's pending items over all processes. A process that does not answer counts as zero.
     pub async fn pending(&self, customer: &str, until: Instant) -> u64 {
         let members = self.directory.members();
         let request = Request::Pending {
@@ -105,12 +105,12 @@
             .sum()
     }
 
-    /// Those that may know, the most probable owner first.
-    fn ranked(&self, shard: id::Shard) -> SmallVec<[Member; ASKED]> {
+    /// Returns the candidate owners of the shard, the most probable one first.
+    fn ranked(&self, shard: id::Shard) -> SmallVec<[Member; MAX_MEMBERS]> {
         let members = self.directory.members();
         let ready = members.ready(id::Role::Batch);
         let ranked = rendezvous::rank(ready, Key::Shard(shard));
-        ranked.into_iter().take(ASKED).cloned().collect()
+        ranked.into_iter().take(MAX_MEMBERS).cloned().collect()
     }
 
     async fn ask_member(
@@ -136,16 +136,16 @@
     }
 }
 
-/// The next answer of those that were asked; never ends when there are none.
-async fn heard<F: Future>(open: &mut FuturesUnordered<F>) -> F::Output {
+/// Returns the next answer; never completes if no request is open.
+async fn next_answer<F: Future>(open: &mut FuturesUnordered<F>) -> F::Output {
     match open.next().await {
         Some(answer) => answer,
         None => std::future::pending().await,
     }
 }
 
-/// What an answer settles; `None` if another member has to be asked.
-fn final_word(frames: Result<Vec<Response>, Error>) -> Option<Result<Vec<Response>, Failure>> {
+/// Returns the final answer, or `None` if another member has to be asked.
+fn final_answer(frames: Result<Vec<Response>, Error>) -> Option<Result<Vec<Response>, Failure>> {
     let frames = frames.ok()?;
     match frames.last()? {
         Response::NotOwner(_) => None,
--- a/crates/tinbank-batch/src/pages.rs
+++ b/crates/tinbank-batch/src/pages.rs
@@ -10,7 +10,7 @@
 };
 use tinbank_ledger::placement;
 
-use crate::asker::Asker;
+use crate::owner_client::OwnerClient;
 
 /// Time to read one page.
 const PAGE_TIMEOUT: Duration = Duration::from_secs(15);
@@ -18,7 +18,7 @@
 /// A reader of a job's results in one shard.
 #[derive(Debug)]
 pub struct Pages {
-    asker: Asker,
+    owner_client: OwnerClient,
     job: id::Job,
     shard: id::Shard,
     shards: id::Shard,
@@ -52,9 +52,9 @@
 
 impl Pages {
     /// A reader at the start.
-    pub fn new(asker: Asker, head: &Head, shard: id::Shard, shards: id::Shard) -> Self {
+    pub fn new(owner_client: OwnerClient, head: &Head, shard: id::Shard, shards: id::Shard) -> Self {
         Self {
-            asker,
+            owner_client,
             job: head.job,
             shard,
             shards,
@@ -88,7 +88,7 @@
             custom_id: self.custom_id.clone(),
         };
         let until = Instant::now() + PAGE_TIMEOUT;
-        let frames = self.asker.ask(self.shard, request, until).await?;
+        let frames = self.owner_client.ask(self.shard, request, until).await?;
         let mut items = Items::default();
         let mut ended = 0;
         for frame in frames {
--- a/crates/tinbank-batch/src/service.rs
+++ b/crates/tinbank-batch/src/service.rs
@@ -22,7 +22,7 @@
 };
 
 use crate::{
-    asker::Asker,
+    owner_client::OwnerClient,
     http::{Context, api},
     intake::{Intake, Limits},
     owner::{
@@ -148,7 +148,7 @@
             Owner::start(parts, reported)
         };
         let answerer = Answerer::new(owner.clone(), edges.log, edges.follower, edges.credits);
-        let asker = Asker {
+        let owner_client = OwnerClient {
             me: edges.me,
             directory: edges.directory.clone(),
             peers: edges.peers,
@@ -156,14 +156,14 @@
         };
         let intake = Intake::new(
             writer,
-            asker.clone(),
+            owner_client.clone(),
             edges.shards,
             edges.limits,
             edges.intakes,
         );
         let context = Arc::new(Context {
             intake,
-            asker,
+            owner_client,
             shards: edges.shards,
             configuration: edges.configuration,
             directory: edges.directory,
