--- a/crates/tinbank-batch/src/owner/appends.rs
+++ b/crates/tinbank-batch/src/owner/appends.rs
@@ -31,7 +31,7 @@
 
     /// Appends what the owner of the shard owes it and others.
     pub(super) fn do_duties(&mut self, shard: id::Shard, now: Instant) {
-        let me = self.parts.me;
+        let me = self.deps.me;
         let Some(followed) = self.shards.get_mut(&shard) else {
             return;
         };
@@ -87,9 +87,9 @@
         priority: Priority,
         what: What,
     ) {
-        let writer = self.parts.writer.clone();
+        let writer = self.deps.writer.clone();
         let done = self.done.clone();
-        let deadline = Instant::now() + self.parts.append_timeout;
+        let deadline = Instant::now() + self.deps.append_timeout;
         tokio::spawn(async move {
             let stream = Stream::Work(to);
             let result = writer.append_by(stream, records, priority, deadline).await;
--- a/crates/tinbank-batch/src/owner/asks.rs
+++ b/crates/tinbank-batch/src/owner/asks.rs
@@ -48,7 +48,7 @@
     }
 
     fn request(&mut self, request: Request, reply: oneshot::Sender<Response>) {
-        let shards = self.parts.shards;
+        let shards = self.deps.shards;
         match request {
             Request::Job { job } => {
                 let shard = placement::shard_of_job(job, shards);
@@ -84,7 +84,7 @@
 
     /// Released items of a customer that have not ended, in the shards that we own.
     fn pending(&self, customer: &str) -> u64 {
-        let me = self.parts.me;
+        let me = self.deps.me;
         let owned = self.shards.values();
         let owned = owned.filter(|followed| followed.epoch(me).is_some());
         let works = owned.flat_map(|followed| followed.fold.works());
@@ -173,9 +173,9 @@
     }
 
     fn ask_tail(&self, shard: id::Shard, wait: Wait) {
-        let (log, done) = (self.parts.log.clone(), self.done.clone());
+        let (log, done) = (self.deps.log.clone(), self.done.clone());
         let wait = Box::new(wait);
-        self.parts.traffic.spawn(async move {
+        self.deps.traffic.spawn(async move {
             let bounds = log.bounds(Stream::Work(shard)).await;
             let result = bounds.map(|bounds| bounds.tail);
             // The control task ends only with the process.
--- a/crates/tinbank-batch/src/owner/control.rs
+++ b/crates/tinbank-batch/src/owner/control.rs
@@ -29,7 +29,7 @@
 };
 use crate::runner::{
     pool::Command,
-    task::{Report, Stop},
+    task::{Report, RunMode},
 };
 
 /// How often leases, duties and members are looked at when nothing else happens.
@@ -41,7 +41,7 @@
 
 /// What the owner works with.
 #[derive(Debug)]
-pub struct Parts {
+pub struct Dependencies {
     /// Who we are.
     pub me: Writer,
     /// How many work shards the deployment has.
@@ -80,14 +80,14 @@
 impl Owner {
     /// Starts the control task on the runtime that we are in.
     pub fn start(
-        parts: Parts,
+        deps: Dependencies,
         reports: mpsc::UnboundedReceiver<Report>,
     ) -> (Self, tokio::task::JoinHandle<()>) {
         let (inputs, received) = mpsc::channel(WAITING);
         let (asks, asked) = mpsc::channel(WAITING);
         let (done, ended) = mpsc::unbounded_channel();
         let control = Control {
-            parts,
+            deps,
             inputs: inputs.clone(),
             done,
             shards: BTreeMap::new(),
@@ -118,7 +118,7 @@
 }
 
 pub(super) struct Control {
-    pub(super) parts: Parts,
+    pub(super) deps: Dependencies,
     /// For tasks whose messages may be held up: readers.
     pub(super) inputs: mpsc::Sender<Input>,
     /// For tasks that end with one message.
@@ -209,7 +209,7 @@
     }
 
     fn measure(&self) {
-        let me = self.parts.me;
+        let me = self.deps.me;
         let shards = self.shards.values();
         let owned = shards
             .clone()
@@ -230,7 +230,7 @@
     }
 
     fn drive_shard(&mut self, shard: id::Shard, now: Instant) {
-        let me = self.parts.me;
+        let me = self.deps.me;
         let stopping = self.stopping.is_some();
         let Some(followed) = self.shards.get_mut(&shard) else {
             return;
@@ -241,12 +241,12 @@
         followed.hand.tidy(now);
         let step = followed.step(stopping, now);
         let stop = match step {
-            Step::Hold => Some(Stop::Go),
-            Step::Drain => Some(Stop::Drain),
-            Step::Append(lease::Lease::Release { .. }) => Some(Stop::Drain),
+            Step::Hold => Some(RunMode::Run),
+            Step::Drain => Some(RunMode::Drain),
+            Step::Append(lease::Lease::Release { .. }) => Some(RunMode::Drain),
             // A renewal says nothing of whether the lease is about to be given back.
             Step::Append(_) => None,
-            Step::Wait => Some(Stop::Now),
+            Step::Wait => Some(RunMode::Abort),
         };
         // Duties that come of a stale fold would renew the lease over and over.
         let fresh = !followed.contender.is_stale(now);
@@ -269,12 +269,12 @@
     /// Tells the runner to give back what was stopped.
     fn purge(&self) {
         // The runner ends only with the process.
-        let _ = self.parts.pool.send(Command::Purge);
+        let _ = self.deps.pool.send(Command::Purge);
     }
 
     /// Ends the stop once no shard holds anything of ours.
     fn end_stop(&mut self) {
-        let me = self.parts.me;
+        let me = self.deps.me;
         let idle = self.shards.values().all(|followed| followed.is_idle(me));
         if !idle {
             return;
@@ -291,6 +291,6 @@
             job,
             ..Subject::default()
         };
-        self.parts.recorder.note(subject, kind);
+        self.deps.recorder.note(subject, kind);
     }
 }
--- a/crates/tinbank-batch/src/owner/follow.rs
+++ b/crates/tinbank-batch/src/owner/follow.rs
@@ -17,19 +17,19 @@
 impl Control {
     /// Follows the shards that we rank high for, and leaves others once nothing of ours is in them.
     pub(super) fn follow(&mut self) {
-        let members = self.parts.directory.members();
+        let members = self.deps.directory.members();
         if Arc::ptr_eq(&members, &self.members) {
             return;
         }
         self.members = members;
-        for shard in 0..self.parts.shards {
+        for shard in 0..self.deps.shards {
             self.follow_shard(shard);
         }
     }
 
     fn follow_shard(&mut self, shard: id::Shard) {
         let rank = self.rank(shard);
-        let near = rank.is_some_and(|rank| rank < self.parts.followers);
+        let near = rank.is_some_and(|rank| rank < self.deps.followers);
         if near && !self.shards.contains_key(&shard) {
             let followed = self.begin_at(shard, 0);
             self.shards.insert(shard, followed);
@@ -38,7 +38,7 @@
             return;
         };
         followed.rank = rank;
-        if !near && followed.is_idle(self.parts.me) {
+        if !near && followed.is_idle(self.deps.me) {
             self.shards.remove(&shard);
         }
     }
@@ -49,7 +49,7 @@
         let ranked = rendezvous::rank(ready, rendezvous::Key::Shard(shard));
         let place = ranked
             .iter()
-            .position(|member| member.writer.process == self.parts.me.process);
+            .position(|member| member.writer.process == self.deps.me.process);
         place.map(|place| place as u32)
     }
 
@@ -57,13 +57,13 @@
         self.followings += 1;
         let following = self.followings;
         let reader = Reader::new(
-            self.parts.log.clone(),
+            self.deps.log.clone(),
             Stream::Work(shard),
             from,
             reader::Settings::default(),
         );
         let inputs = self.inputs.clone();
-        let task = self.parts.traffic.spawn(async move {
+        let task = self.deps.traffic.spawn(async move {
             let mut reader: Reader<work::Record> = reader;
             loop {
                 let event = Box::new(reader.next().await);
@@ -77,8 +77,8 @@
                 }
             }
         });
-        let (shards, me, terms) = (self.parts.shards, self.parts.me, self.parts.terms);
-        let retention = self.parts.retention;
+        let (shards, me, terms) = (self.deps.shards, self.deps.me, self.deps.terms);
+        let retention = self.deps.retention;
         Followed::new(
             shard,
             shards,
@@ -111,7 +111,7 @@
                 self.give_up_recovery(shard);
             }
             Event::Trimmed { first } => {
-                followed.recovery = Some(Recovery::new(shard, self.parts.shards, first));
+                followed.recovery = Some(Recovery::new(shard, self.deps.shards, first));
                 followed.first = first;
                 followed.current = false;
             }
@@ -127,7 +127,7 @@
         let Some(followed) = self.shards.get_mut(&shard) else {
             return;
         };
-        self.parts.recorder.observe(envelope.stamp);
+        self.deps.recorder.observe(envelope.stamp);
         if let Some(recovery) = &mut followed.recovery {
             match recovery.offer(offset, envelope) {
                 Ok(Some(fold)) => self.recovered(shard, fold),
@@ -143,7 +143,7 @@
         followed.upkeep.marks.note(offset, envelope.stamp, now);
         let changes = followed.fold.apply(offset, envelope);
         for change in &changes {
-            followed.changed(change, self.parts.me);
+            followed.changed(change, self.deps.me);
         }
         self.note_changes(shard, &changes);
     }
@@ -168,12 +168,12 @@
         let first = followed.first;
         let mut begun = self.begin_at(shard, first);
         begun.rank = self.rank(shard);
-        begun.fold = Shard::starting_at(shard, self.parts.shards, first);
+        begun.fold = Shard::starting_at(shard, self.deps.shards, first);
         self.shards.insert(shard, begun);
     }
 
     fn note_changes(&self, shard: id::Shard, changes: &Changes) {
-        let me = self.parts.me;
+        let me = self.deps.me;
         for change in changes {
             match change {
                 Change::Committed(job) => {
--- a/crates/tinbank-batch/src/owner/hand.rs
+++ b/crates/tinbank-batch/src/owner/hand.rs
@@ -8,7 +8,7 @@
 use tinbank_base::id;
 use tokio::sync::watch;
 
-use crate::runner::task::{Flow, Stop};
+use crate::runner::task::{Flow, RunMode};
 
 type Place = (id::Job, id::Chunk);
 
@@ -16,9 +16,9 @@
 #[derive(Debug, Default)]
 pub(super) struct Hand {
     chunks: BTreeMap<Place, Held>,
-    jobs: BTreeMap<id::Job, watch::Sender<Stop>>,
+    jobs: BTreeMap<id::Job, watch::Sender<RunMode>>,
     /// What jobs that come in hand are told.
-    mode: Stop,
+    mode: RunMode,
 }
 
 #[derive(Debug)]
@@ -106,20 +106,20 @@
     /// Lets go of a job at once.
     pub(super) fn drop_job(&mut self, job: id::Job) {
         if let Some(stop) = self.jobs.remove(&job) {
-            stop.send_replace(Stop::Now);
+            stop.send_replace(RunMode::Abort);
         }
         self.chunks.retain(|(of, _), _| *of != job);
     }
 
     /// Lets go of everything at once.
     pub(super) fn drop_all(&mut self) {
-        self.set(Stop::Now);
+        self.set(RunMode::Abort);
         self.jobs.clear();
         self.chunks.clear();
     }
 
     /// Says whether items go on being run; `true` if that is new.
-    pub(super) fn set(&mut self, stop: Stop) -> bool {
+    pub(super) fn set(&mut self, stop: RunMode) -> bool {
         self.mode = stop;
         let mut changed = false;
         for job in self.jobs.values() {
@@ -129,7 +129,7 @@
     }
 
     /// What tells the runner whether to go on with a job.
-    pub(super) fn stop(&mut self, job: id::Job) -> watch::Receiver<Stop> {
+    pub(super) fn stop(&mut self, job: id::Job) -> watch::Receiver<RunMode> {
         let sender = self
             .jobs
             .entry(job)
--- a/crates/tinbank-batch/src/owner/hand/tests.rs
+++ b/crates/tinbank-batch/src/owner/hand/tests.rs
@@ -51,11 +51,11 @@
 #[test]
 fn a_job_that_comes_in_hand_during_a_drain_is_not_started() {
     let mut hand = loaded(Instant::now());
-    hand.set(Stop::Drain);
+    hand.set(RunMode::Drain);
 
     let stop = hand.stop(2);
 
-    assert_eq!(*stop.borrow(), Stop::Drain);
+    assert_eq!(*stop.borrow(), RunMode::Drain);
 }
 
 #[test]
@@ -68,6 +68,6 @@
 
     hand.drop_job(1);
 
-    assert_eq!((*first.borrow(), *second.borrow()), (Stop::Now, Stop::Go));
+    assert_eq!((*first.borrow(), *second.borrow()), (RunMode::Abort, RunMode::Run));
     assert_eq!(hand.in_flight(), 1);
 }
--- a/crates/tinbank-batch/src/owner/load.rs
+++ b/crates/tinbank-batch/src/owner/load.rs
@@ -14,7 +14,7 @@
 use crate::runner::{
     pool::Command,
     quota,
-    task::{Flow, Kept, Key, Task},
+    task::{Flow, PartialAnswer, Key, Task},
 };
 
 /// Most chunks in hand of one customer and service.
@@ -52,7 +52,7 @@
         if outbox > MAX_OUTBOX_BYTES {
             return;
         }
-        let configuration = self.parts.configuration.load_full();
+        let configuration = self.deps.configuration.load_full();
         let mut in_hand: usize = self
             .shards
             .values()
@@ -79,7 +79,7 @@
         }
         let mut best: Option<Candidate> = None;
         for (shard, followed) in &self.shards {
-            let Some(epoch) = followed.epoch(self.parts.me).filter(|_| followed.running) else {
+            let Some(epoch) = followed.epoch(self.deps.me).filter(|_| followed.running) else {
                 continue;
             };
             for customer in followed.fold.customers() {
@@ -132,8 +132,8 @@
             let until = now + LOAD_TIMEOUT + REST;
             followed.hand.begin(job, chunk, flow, until);
         }
-        let (log, done) = (self.parts.log.clone(), self.done.clone());
-        self.parts.traffic.spawn(async move {
+        let (log, done) = (self.deps.log.clone(), self.done.clone());
+        self.deps.traffic.spawn(async move {
             let result = read_chunk(&*log, shard, place).await;
             let result = result.map(|chunk| chunk.items);
             // The control task ends only with the process.
@@ -155,7 +155,7 @@
         chunk: id::Chunk,
         result: Result<Vec<work::Item>, String>,
     ) {
-        let me = self.parts.me;
+        let me = self.deps.me;
         let rest = Instant::now() + REST;
         self.dirty.insert(shard);
         let Some(followed) = self.shards.get_mut(&shard) else {
@@ -185,7 +185,7 @@
         followed.hand.run(job, chunk, numbers, rest);
         if !tasks.is_empty() {
             // The runner ends only with the process.
-            let _ = self.parts.pool.send(Command::Add(tasks));
+            let _ = self.deps.pool.send(Command::Add(tasks));
         }
     }
 
@@ -197,12 +197,12 @@
         chunk: id::Chunk,
         items: Vec<work::Item>,
     ) -> Vec<Task> {
-        let configuration = self.parts.configuration.load_full();
+        let configuration = self.deps.configuration.load_full();
         let (place, hosts) = self.place();
         let Some(followed) = self.shards.get_mut(&shard) else {
             return Vec::new();
         };
-        let stop = followed.hand.stop(job);
+        let run_mode = followed.hand.run_mode(job);
         let work = followed.fold.work(job);
         let release = work.and_then(|work| work.release.as_ref());
         let summary = work.and_then(|work| work.chunk(chunk));
@@ -216,7 +216,7 @@
         let Some((customer, service)) = service(&configuration, &flow) else {
             return Vec::new();
         };
-        let ours = |limit| quota::of(limit, place, hosts);
+        let ours = |limit| quota::local_share(limit, place, hosts);
         let numbered = (summary.first..).zip(items);
         numbered
             .filter_map(|(number, item)| {
@@ -233,7 +233,7 @@
                     key,
                     flow: flow.clone(),
                     weight: customer.share,
-                    at_once: customer.limits.batch_at_once.map(ours),
+                    concurrency_limit: customer.limits.batch_at_once.map(ours),
                     service: service.clone(),
                     due: release.due,
                     prefix: tinbank_routing::prefix::of_body(&flow.service, &item.body),
@@ -244,8 +244,8 @@
                     losses: 0,
                     tries: 0,
                     request: None,
-                    kept: Kept::default(),
-                    stop: stop.clone(),
+                    partial_answer: PartialAnswer::default(),
+                    run_mode: run_mode.clone(),
                 })
             })
             .collect()
@@ -256,7 +256,7 @@
         let ready = self.members.ready(id::Role::Batch);
         let mut processes: Vec<id::Process> = ready.map(|member| member.writer.process).collect();
         processes.sort_unstable();
-        let place = processes.binary_search(&self.parts.me.process);
+        let place = processes.binary_search(&self.deps.me.process);
         (
             place.unwrap_or_else(|place| place) as u32,
             processes.len() as u32,
--- a/crates/tinbank-batch/src/owner/mod.rs
+++ b/crates/tinbank-batch/src/owner/mod.rs
@@ -19,5 +19,5 @@
 mod shard;
 mod upkeep;
 
-pub use control::{Owner, Parts};
+pub use control::{Owner, Dependencies};
 pub use input::{Ask, Plan};
--- a/crates/tinbank-batch/src/owner/reports.rs
+++ b/crates/tinbank-batch/src/owner/reports.rs
@@ -13,7 +13,7 @@
 impl Control {
     /// Takes in what the runner says.
     pub(super) fn reported(&mut self, report: Report) {
-        let me = self.parts.me;
+        let me = self.deps.me;
         match report {
             Report::Dispatch { key, reply } => {
                 let Some(followed) = self.shards.get_mut(&key.shard) else {
@@ -64,6 +64,6 @@
             item: Some(key.item),
             ..Subject::default()
         };
-        self.parts.recorder.note(subject, kind);
+        self.deps.recorder.note(subject, kind);
     }
 }
--- a/crates/tinbank-batch/src/owner/shard.rs
+++ b/crates/tinbank-batch/src/owner/shard.rs
@@ -24,7 +24,7 @@
     outbox::Outbox,
     upkeep::Upkeep,
 };
-use crate::runner::task::{Key, Permit, Stop};
+use crate::runner::task::{Key, Permit, RunMode};
 
 /// How long a duty's append may stay without effect before it is appended again.
 const DUTY_RETRY: Duration = Duration::from_secs(2);
@@ -260,9 +260,9 @@
     }
 
     /// Stops or continues the sending of items; `true` if the runner has to give some back.
-    pub(super) fn set(&mut self, stop: Stop) -> bool {
-        self.running = stop == Stop::Go;
-        self.hand.set(stop) && stop != Stop::Go
+    pub(super) fn set(&mut self, stop: RunMode) -> bool {
+        self.running = stop == RunMode::Run;
+        self.hand.set(stop) && stop != RunMode::Run
     }
 }
 
--- a/crates/tinbank-batch/src/owner/upkeep.rs
+++ b/crates/tinbank-batch/src/owner/upkeep.rs
@@ -85,7 +85,7 @@
         if now < self.upkeep_at {
             return;
         }
-        let retention = self.parts.retention;
+        let retention = self.deps.retention;
         self.upkeep_at = now + look_every(retention);
         let Some(old) = SystemTime::now().checked_sub(retention / 2) else {
             return;
@@ -137,9 +137,9 @@
             carried,
             checkpoint,
         };
-        let (log, writer) = (self.parts.log.clone(), self.parts.writer.clone());
+        let (log, writer) = (self.deps.log.clone(), self.deps.writer.clone());
         let done = self.done.clone();
-        self.parts.traffic.spawn(async move {
+        self.deps.traffic.spawn(async move {
             let last = work.append(log, writer).await;
             if let Err(reason) = &last {
                 log::warn!(event = "upkeep_failed", shard, reason:%; "old records were not carried forward yet");
--- a/crates/tinbank-batch/src/runner/answer.rs
+++ b/crates/tinbank-batch/src/runner/answer.rs
@@ -1,4 +1,4 @@
-//! Collects the parts of an engine's stream into one whole answer, in the form that LLM clients know.
+//! Assembles the parts of an engine's stream into an OpenAI-style chat completion.
 
 use bytes::Bytes;
 use serde::Serialize;
@@ -7,9 +7,9 @@
     platform::upstream::{Kind, Part},
 };
 
-use super::task::Kept;
+use super::task::PartialAnswer;
 
-/// A whole chat completion.
+/// A chat completion.
 #[derive(Debug, Serialize)]
 struct Completion<'a> {
     id: String,
@@ -37,41 +37,41 @@
     completion_tokens: u32,
 }
 
-/// Takes in one part; gives the whole answer with its end marker.
+/// Adds one part, and returns the completion when the part is the end marker.
 ///
 /// # Errors
-/// A token out of order, or an end marker that counts other tokens than were received: the answer is not whole.
-pub fn take(
-    kept: &mut Kept,
+/// Returns an error for a token out of order, or an end marker whose token count differs from the tokens received.
+pub fn push_part(
+    partial_answer: &mut PartialAnswer,
     part: Part,
     request: id::Request,
     service: &str,
 ) -> Result<Option<Bytes>, Kind> {
     match part {
         Part::Token { index, text } => {
-            if index != kept.tokens {
-                let expected = kept.tokens;
+            if index != partial_answer.tokens {
+                let expected = partial_answer.tokens;
                 let message = format!("token {index} came, token {expected} was expected");
                 return Err(Kind::Crossed(message));
             }
-            kept.tokens += 1;
-            kept.text.push_str(&text);
+            partial_answer.tokens += 1;
+            partial_answer.text.push_str(&text);
             Ok(None)
         }
         Part::End { reason, tokens } => {
-            if tokens != kept.tokens {
-                let got = kept.tokens;
+            if tokens != partial_answer.tokens {
+                let got = partial_answer.tokens;
                 return Err(Kind::Cut(format!("{got} of {tokens} tokens came")));
             }
-            Ok(Some(whole(kept, &reason, request, service)))
+            Ok(Some(build_completion(partial_answer, &reason, request, service)))
         }
     }
 }
 
-fn whole(kept: &Kept, reason: &str, request: id::Request, service: &str) -> Bytes {
+fn build_completion(partial_answer: &PartialAnswer, reason: &str, request: id::Request, service: &str) -> Bytes {
     let message = Message {
         role: "assistant",
-        content: &kept.text,
+        content: &partial_answer.text,
     };
     let choice = Choice {
         index: 0,
@@ -84,7 +84,7 @@
         model: service,
         choices: [choice],
         usage: Usage {
-            completion_tokens: kept.tokens,
+            completion_tokens: partial_answer.tokens,
         },
     };
     serde_json::to_vec(&completion)
--- a/crates/tinbank-batch/src/runner/attempt.rs
+++ b/crates/tinbank-batch/src/runner/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt at an item: dispatch if it may not be repeated, send, collect the whole answer, give way when told.
+//! One attempt at an item: dispatches it if it is not repeatable, sends it, and collects the whole answer, unless the
+//! attempt is withdrawn or stopped.
 
 use std::{
     sync::{
@@ -26,23 +27,23 @@
 
 use super::{
     answer,
-    task::{Permit, Report, Stop, Task},
+    task::{Permit, Report, RunMode, Task},
 };
 
-/// What an attempt works with.
+/// Dependencies of an attempt.
 #[derive(Clone, Debug)]
-pub struct Edge {
+pub struct AttemptContext {
     /// Access to upstreams.
     pub upstreams: Arc<dyn Upstreams>,
-    /// Where the owner hears of items.
+    /// Channel to the owner.
     pub reports: mpsc::UnboundedSender<Report>,
-    /// The time line.
+    /// Timeline of events.
     pub recorder: Recorder,
 }
 
-impl Edge {
-    /// Notes what happened to an item in its latest attempt.
-    pub fn note(&self, task: &Task, upstream: id::Upstream, kind: Event) {
+impl AttemptContext {
+    /// Records an event of the item's latest attempt in the timeline.
+    pub fn record_event(&self, task: &Task, upstream: id::Upstream, kind: Event) {
         let subject = Subject {
             request: task.request,
             upstream: Some(upstream),
@@ -55,125 +56,125 @@
     }
 }
 
-/// Where an attempt goes.
+/// An upstream chosen for an attempt, with the permission to send.
 #[derive(Debug)]
-pub struct Spot {
+pub struct Placement {
     /// The chosen upstream.
     pub choice: Choice,
-    /// Leave to send.
+    /// Admission to the upstream.
     pub pass: Pass,
 }
 
 /// How an attempt ended.
 #[derive(Debug)]
-pub enum End {
-    /// With a whole answer.
+pub enum AttemptEnd {
+    /// The whole answer was received.
     Answer(Bytes),
-    /// It gave way to online requests.
+    /// The attempt was withdrawn in favour of online requests.
     Withdrawn,
-    /// The item is no longer to be run here.
+    /// The item must no longer be run by this process.
     Stopped,
-    /// It was not dispatched, and so not sent.
+    /// The item could not be dispatched, so it was not sent.
     NotDispatched,
-    /// Another dispatch of the item counts.
-    Lost,
-    /// Without a whole answer.
+    /// Another dispatch of the item takes precedence.
+    Superseded,
+    /// The attempt failed without a whole answer.
     Failed(Error),
 }
 
-/// Makes one attempt. Tokens that were received stay in the task, whatever the end.
-pub async fn run(edge: &Edge, task: &mut Task, spot: Spot) -> End {
-    let Spot { choice, pass } = spot;
+/// Makes one attempt. Received tokens stay in the task, however the attempt ends.
+pub async fn run(context: &AttemptContext, task: &mut Task, placement: Placement) -> AttemptEnd {
+    let Placement { choice, pass } = placement;
     if !task.repeatable {
-        match dispatch(edge, task).await {
+        match dispatch(context, task).await {
             Permit::Send => {}
-            Permit::Later => return End::NotDispatched,
-            Permit::Never => return End::Lost,
+            Permit::Later => return AttemptEnd::NotDispatched,
+            Permit::Never => return AttemptEnd::Superseded,
         }
     }
     let request: id::Request = rand::random();
     let upstream = choice.target.upstream;
     task.request = Some(request);
     let reason = choice.reason.into();
-    edge.note(task, upstream, Event::Routed { reason });
-    if task.kept.tokens > 0 {
-        let from = task.kept.tokens;
-        edge.note(task, upstream, Event::Resumed { from });
+    context.record_event(task, upstream, Event::Routed { reason });
+    if task.partial_answer.tokens > 0 {
+        let from = task.partial_answer.tokens;
+        context.record_event(task, upstream, Event::Resumed { from });
     }
-    let end = send(edge, task, choice.target, pass, request).await;
-    if matches!(end, End::Withdrawn) {
-        edge.note(task, upstream, Event::Preempted);
+    let end = send(context, task, choice.target, pass, request).await;
+    if matches!(end, AttemptEnd::Withdrawn) {
+        context.record_event(task, upstream, Event::Preempted);
     }
     let now = Instant::now();
     match &end {
-        End::Answer(_) => choice.ticket.note(Ok(()), now),
-        End::Failed(error) => choice.ticket.note(Err(error), now),
+        AttemptEnd::Answer(_) => choice.ticket.note(Ok(()), now),
+        AttemptEnd::Failed(error) => choice.ticket.note(Err(error), now),
         _ => {}
     }
     end
 }
 
-async fn dispatch(edge: &Edge, task: &Task) -> Permit {
+async fn dispatch(context: &AttemptContext, task: &Task) -> Permit {
     let (reply, permit) = oneshot::channel();
     let key = task.key;
-    if edge.reports.send(Report::Dispatch { key, reply }).is_err() {
+    if context.reports.send(Report::Dispatch { key, reply }).is_err() {
         return Permit::Later;
     }
     permit.await.unwrap_or(Permit::Later)
 }
 
 async fn send(
-    edge: &Edge,
+    context: &AttemptContext,
     task: &mut Task,
     target: Target,
     pass: Pass,
     request: id::Request,
-) -> End {
-    // What may not be repeated is not taken back either: it could not be sent again.
-    let mut stop = task.stop.clone();
+) -> AttemptEnd {
+    // A non-repeatable item is never withdrawn, since it could not be sent again.
+    let mut run_mode = task.run_mode.clone();
     let mut withdrawn = pass.withdrawn.clone();
-    let yields = task.repeatable;
+    let withdrawable = task.repeatable;
     let sent = AtomicBool::new(false);
     let exchange = async {
         sent.store(true, Ordering::Relaxed);
-        exchange(edge, task, target, request).await
+        exchange(context, task, target, request).await
     };
     let end = tokio::select! {
         biased;
-        () = turned(&mut stop, Stop::Now) => End::Stopped,
-        () = turned(&mut withdrawn, true), if yields => End::Withdrawn,
+        () = wait_for_value(&mut run_mode, RunMode::Abort) => AttemptEnd::Stopped,
+        () = wait_for_value(&mut withdrawn, true), if withdrawable => AttemptEnd::Withdrawn,
         result = exchange => match result {
-            Ok(answer) => End::Answer(answer),
-            Err(error) => End::Failed(error),
+            Ok(answer) => AttemptEnd::Answer(answer),
+            Err(error) => AttemptEnd::Failed(error),
         },
     };
-    // What was stopped before it was sent is unknown to the engine.
-    if sent.load(Ordering::Relaxed) && leaves_work(&end) {
-        // The engine may be gone; then nothing is left to cancel.
-        let _ = edge.upstreams.cancel(target, request).await;
+    // If the request was never sent, the engine does not know it.
+    if sent.load(Ordering::Relaxed) && may_still_run(&end) {
+        // An error means that the engine is gone, so there is nothing to cancel.
+        let _ = context.upstreams.cancel(target, request).await;
     }
     drop(pass);
     end
 }
 
-/// Whether the upstream may still be at work after this end.
-fn leaves_work(end: &End) -> bool {
+/// Returns whether the upstream may still be running the request.
+fn may_still_run(end: &AttemptEnd) -> bool {
     match end {
-        End::Withdrawn | End::Stopped => true,
-        End::Failed(error) => matches!(error.kind, Kind::Timeout | Kind::Crossed(_)),
+        AttemptEnd::Withdrawn | AttemptEnd::Stopped => true,
+        AttemptEnd::Failed(error) => matches!(error.kind, Kind::Timeout | Kind::Crossed(_)),
         _ => false,
     }
 }
 
-async fn turned<T: PartialEq>(flag: &mut watch::Receiver<T>, to: T) {
+async fn wait_for_value<T: PartialEq>(flag: &mut watch::Receiver<T>, to: T) {
     if flag.wait_for(|value| *value == to).await.is_err() {
-        // The other end is gone without having turned it.
+        // The sender was dropped without setting the value.
         std::future::pending().await
     }
 }
 
 async fn exchange(
-    edge: &Edge,
+    context: &AttemptContext,
     task: &mut Task,
     target: Target,
     request: id::Request,
@@ -182,37 +183,37 @@
         request,
         service: task.flow.service.clone(),
         body: task.body.clone(),
-        resume_from: task.kept.tokens,
+        resume_from: task.partial_answer.tokens,
         deadline: Instant::now() + task.service.timeout,
     };
     match task.service.kind {
-        hosts::Kind::Engine => chat(edge, task, target, call).await,
-        hosts::Kind::Plain => plain(edge, target, call).await,
+        hosts::Kind::Engine => chat(context, task, target, call).await,
+        hosts::Kind::Plain => plain(context, target, call).await,
     }
 }
 
-async fn chat(edge: &Edge, task: &mut Task, target: Target, call: Call) -> Result<Bytes, Error> {
+async fn chat(context: &AttemptContext, task: &mut Task, target: Target, call: Call) -> Result<Bytes, Error> {
     let request = call.request;
-    let mut parts = edge.upstreams.chat(target, call).await?;
+    let mut parts = context.upstreams.chat(target, call).await?;
     while let Some(part) = parts.next().await {
-        let taken = answer::take(&mut task.kept, part?, request, &task.flow.service);
-        if let Some(whole) = taken.map_err(|kind| unknown(target, kind))? {
+        let taken = answer::push_part(&mut task.partial_answer, part?, request, &task.flow.service);
+        if let Some(whole) = taken.map_err(|kind| unknown_outcome(target, kind))? {
             return Ok(whole);
         }
     }
-    Err(unknown(target, Kind::Cut("no end marker".to_owned())))
+    Err(unknown_outcome(target, Kind::Cut("no end marker".to_owned())))
 }
 
-async fn plain(edge: &Edge, target: Target, call: Call) -> Result<Bytes, Error> {
-    let answer = edge.upstreams.call(target, call).await?;
+async fn plain(context: &AttemptContext, target: Target, call: Call) -> Result<Bytes, Error> {
+    let answer = context.upstreams.call(target, call).await?;
     let parsed = serde_json::from_slice::<serde::de::IgnoredAny>(&answer);
     match parsed {
         Ok(_) => Ok(answer),
-        Err(error) => Err(unknown(target, Kind::Cut(format!("no JSON: {error}")))),
+        Err(error) => Err(unknown_outcome(target, Kind::Cut(format!("no JSON: {error}")))),
     }
 }
 
-fn unknown(target: Target, kind: Kind) -> Error {
+fn unknown_outcome(target: Target, kind: Kind) -> Error {
     Error {
         upstream: target.upstream,
         ran: Ran::Unknown,
--- a/crates/tinbank-batch/src/runner/room.rs
+++ b/crates/tinbank-batch/src/runner/concurrency_gate.rs
@@ -1,4 +1,4 @@
-//! A gate that only bounds how many batch requests of this process are in an upstream at once.
+//! A gate that limits the concurrent batch requests of this process in each upstream.
 
 use std::{
     collections::HashMap,
@@ -11,9 +11,9 @@
 use tinbank_base::id;
 use tokio::sync::watch;
 
-/// The gate. Clones share their counts.
+/// A gate with a fixed limit for each upstream. Clones share their counts.
 #[derive(Clone)]
-pub struct Room {
+pub struct ConcurrencyGate {
     limit: u32,
     shared: Arc<Shared>,
 }
@@ -26,12 +26,12 @@
 struct Guard {
     upstream: id::Upstream,
     shared: Arc<Shared>,
-    /// Held so that the pass never looks withdrawn.
+    /// Keeps the channel open, so that the pass never appears withdrawn.
     _open: watch::Sender<bool>,
 }
 
-impl Room {
-    /// A gate that lets `limit` requests into each upstream.
+impl ConcurrencyGate {
+    /// Creates a gate that admits `limit` concurrent requests to each upstream.
     pub fn new(limit: u32) -> Self {
         Self {
             limit,
@@ -40,9 +40,9 @@
     }
 }
 
-impl Room {
-    /// Lets a request in if there are fewer than `limit` in the upstream.
-    pub(super) fn enter_within(&self, upstream: id::Upstream, limit: u32) -> Option<Pass> {
+impl ConcurrencyGate {
+    /// Admits a request if fewer than `limit` are in the upstream.
+    pub(super) fn try_enter(&self, upstream: id::Upstream, limit: u32) -> Option<Pass> {
         let mut inside = self.shared.lock();
         let count = inside.entry(upstream).or_default();
         if *count >= limit {
@@ -63,9 +63,9 @@
     }
 }
 
-impl Gate for Room {
+impl Gate for ConcurrencyGate {
     fn enter(&self, upstream: id::Upstream, _customer: &str, _now: Instant) -> Option<Pass> {
-        self.enter_within(upstream, self.limit)
+        self.try_enter(upstream, self.limit)
     }
 
     fn wish(&self, _: id::Upstream, _: &str, _: u16, _: Instant, _: Instant) {}
@@ -89,7 +89,7 @@
     }
 }
 
-impl fmt::Debug for Room {
+impl fmt::Debug for ConcurrencyGate {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Room")
             .field("limit", &self.limit)
--- a/crates/tinbank-batch/src/runner/mod.rs
+++ b/crates/tinbank-batch/src/runner/mod.rs
@@ -1,12 +1,12 @@
-//! Runs items: shares capacity between customers, sends to upstreams, retries, and hands ends to the owner.
+//! Runs items: shares capacity between customers, sends items to upstreams, retries, and reports outcomes to the owner.
 
 pub mod answer;
 pub mod attempt;
-pub mod lanes;
+pub mod concurrency_gate;
+pub mod isolation;
 pub mod partition;
 pub mod pool;
 pub mod quota;
 pub mod retry;
-pub mod room;
-pub mod share;
+pub mod scheduler;
 pub mod task;
--- a/crates/tinbank-batch/src/runner/partition.rs
+++ b/crates/tinbank-batch/src/runner/partition.rs
@@ -1,6 +1,6 @@
-//! A gate that divides a fixed part of each engine's slots among the batch processes, and never gives way.
+//! A gate that divides a fixed part of each engine's slots among the batch processes and never withdraws requests.
 //!
-//! It is what credits are measured against, see `docs/measurements.md`.
+//! Serves as the baseline for measuring credits, see `docs/measurements.md`.
 
 use std::{sync::Arc, time::Instant};
 
@@ -9,20 +9,20 @@
 use tinbank_membership::rendezvous::{self, Key};
 use tinbank_process::hosts::Watch;
 
-use super::room::Room;
+use super::concurrency_gate::ConcurrencyGate;
 
-/// The gate.
+/// A gate with a static partition of slots.
 #[derive(Debug)]
 pub struct Partition {
     me: id::Process,
     directory: Arc<dyn Directory>,
     hosts: Watch,
     slots_for_online: u16,
-    room: Room,
+    concurrency_gate: ConcurrencyGate,
 }
 
 impl Partition {
-    /// A gate that leaves `slots_for_online` slots of each engine alone.
+    /// Creates a gate that leaves `slots_for_online` slots of each engine to online requests.
     pub fn new(
         me: id::Process,
         directory: Arc<dyn Directory>,
@@ -34,19 +34,19 @@
             directory,
             hosts,
             slots_for_online,
-            room: Room::new(0),
+            concurrency_gate: ConcurrencyGate::new(0),
         }
     }
 
-    /// Slots of an engine that are this process's.
-    fn share(&self, upstream: id::Upstream) -> u32 {
+    /// Returns this process's share of the engine's slots.
+    fn local_slots(&self, upstream: id::Upstream) -> u32 {
         let members = self.directory.members();
         let ranked = rendezvous::rank(members.ready(id::Role::Batch), Key::Upstream(upstream));
         let rank = ranked
             .iter()
             .position(|member| member.writer.process == self.me);
         rank.map_or(0, |rank| {
-            part(self.slots_for_batch(upstream), ranked.len(), rank)
+            slots_for_rank(self.slots_for_batch(upstream), ranked.len(), rank)
         })
     }
 
@@ -62,15 +62,15 @@
     }
 }
 
-/// Slots of the process at a place in rank, if all are dealt out in turn.
-pub fn part(slots: u32, processes: usize, rank: usize) -> u32 {
+/// Returns the slots of the process at `rank` when all slots are allocated in turn.
+pub fn slots_for_rank(slots: u32, processes: usize, rank: usize) -> u32 {
     let (processes, rank) = (processes as u32, rank as u32);
     slots / processes + u32::from(rank < slots % processes)
 }
 
 impl Gate for Partition {
     fn enter(&self, upstream: id::Upstream, _customer: &str, _now: Instant) -> Option<Pass> {
-        self.room.enter_within(upstream, self.share(upstream))
+        self.concurrency_gate.try_enter(upstream, self.local_slots(upstream))
     }
 
     fn wish(&self, _: id::Upstream, _: &str, _: u16, _: Instant, _: Instant) {}
--- a/crates/tinbank-batch/src/runner/pool.rs
+++ b/crates/tinbank-batch/src/runner/pool.rs
@@ -1,6 +1,7 @@
-//! Runs items on the traffic threads: takes them by share and due time, sends them where there is room, and retries.
+//! Runs items on the traffic threads: schedules them by share and due time, sends them to upstreams with capacity, and
+//! retries them.
 
-mod ends;
+mod attempt_end;
 mod place;
 
 use std::{
@@ -19,86 +20,86 @@
 };
 
 use super::{
-    attempt::{self, Edge, End, Spot},
-    lanes::Lanes,
+    attempt::{self, AttemptContext, AttemptEnd, Placement},
+    isolation::SuspectIsolation,
     quota::Quotas,
-    room::Room,
-    share::Scheduler,
+    concurrency_gate::ConcurrencyGate,
+    scheduler::Scheduler,
     task::{Flow, Report, Task},
 };
 
-/// How often waiting items look for room: credits and upstreams change without a word.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+/// How often placement of waiting items is retried, since no event signals changes of credits or upstreams.
+const PLACEMENT_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Largest answer that is stored, in bytes: a record of the log has to hold it.
+/// Maximum size of a stored answer in bytes, so that it fits into a log record.
 pub const MAX_ANSWER_BYTES: usize = 128 << 10;
 
-/// What the pool works with.
+/// Dependencies and limits of the pool.
 #[derive(Debug)]
-pub struct Parts {
-    /// Upstreams and the owner.
-    pub edge: Edge,
+pub struct Dependencies {
+    /// Dependencies of attempts.
+    pub context: AttemptContext,
     /// Chooses upstreams.
     pub router: Arc<dyn Router>,
-    /// Lets items into engines.
+    /// Admits items to engines.
     pub gate: Arc<dyn Gate>,
-    /// Most calls of this process in a plain service's upstream at once.
-    pub plain_at_once: u32,
-    /// Most items sent at once.
-    pub at_once: usize,
+    /// Maximum concurrent calls of this process in one upstream of a plain service.
+    pub max_plain_calls: u32,
+    /// Maximum items in flight.
+    pub max_in_flight: usize,
 }
 
-/// What the pool is told.
+/// Commands to the pool.
 #[derive(Debug)]
 pub enum Command {
-    /// Run these.
+    /// Run these tasks.
     Add(Vec<Task>),
-    /// Some tasks were stopped: give them back now.
+    /// Return stopped tasks to the owner.
     Purge,
 }
 
-/// Starts the pool on the runtime that we are in. It ends when the sender is dropped.
-pub fn start(parts: Parts) -> mpsc::UnboundedSender<Command> {
+/// Starts the pool on the current runtime. It ends when the sender is dropped.
+pub fn start(deps: Dependencies) -> mpsc::UnboundedSender<Command> {
     let (sender, commands) = mpsc::unbounded_channel();
-    let plain = Room::new(parts.plain_at_once);
+    let plain_gate = ConcurrencyGate::new(deps.max_plain_calls);
     let pool = Pool {
-        parts,
-        plain,
+        deps,
+        plain_gate,
         queue: Scheduler::default(),
-        lanes: Lanes::default(),
+        isolation: SuspectIsolation::default(),
         quotas: Quotas::default(),
-        work: JoinSet::new(),
-        sent: 0,
+        running: JoinSet::new(),
+        in_flight: 0,
     };
     tokio::spawn(pool.run(commands));
     sender
 }
 
 struct Pool {
-    parts: Parts,
-    plain: Room,
+    deps: Dependencies,
+    plain_gate: ConcurrencyGate,
     queue: Scheduler<Flow, Box<Task>>,
-    lanes: Lanes,
+    isolation: SuspectIsolation,
     quotas: Quotas,
-    work: JoinSet<Done>,
-    sent: usize,
+    running: JoinSet<TaskEvent>,
+    in_flight: usize,
 }
 
-enum Done {
+enum TaskEvent {
     /// An attempt ended.
-    Ran {
+    Attempted {
         task: Box<Task>,
         upstream: id::Upstream,
-        end: End,
+        end: AttemptEnd,
     },
-    /// A pause between two attempts is over.
-    Rested(Box<Task>),
+    /// The backoff before a retry has elapsed.
+    BackoffElapsed(Box<Task>),
 }
 
 impl Pool {
     async fn run(mut self, mut commands: mpsc::UnboundedReceiver<Command>) {
-        let mut look = time::interval(LOOK_EVERY);
-        look.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut placement_tick = time::interval(PLACEMENT_INTERVAL);
+        placement_tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 command = commands.recv() => match command {
@@ -106,87 +107,87 @@
                     Some(Command::Purge) => self.purge(),
                     None => return,
                 },
-                Some(done) = self.work.join_next() => self.done(done),
-                _ = look.tick(), if !self.queue.is_empty() => {}
+                Some(event) = self.running.join_next() => self.on_task_event(event),
+                _ = placement_tick.tick(), if !self.queue.is_empty() => {}
             }
-            self.fill();
+            self.send_ready();
             metrics::gauge!("tinbank_batch_items_waiting").set(self.queue.len() as f64);
         }
     }
 
     fn push(&mut self, task: Box<Task>) {
-        if task.stopped() {
-            self.give_back(&task);
+        if task.is_stopped() {
+            self.return_task(&task);
             return;
         }
         let (flow, weight, due) = (task.flow.clone(), task.weight, task.due);
-        self.quotas.limit(&flow.customer, task.at_once);
+        self.quotas.set_limit(&flow.customer, task.concurrency_limit);
         self.queue.push(flow, weight, due, 1, task);
     }
 
     fn purge(&mut self) {
-        let reports = &self.parts.edge.reports;
+        let reports = &self.deps.context.reports;
         self.queue.retain(|task| {
-            let stopped = task.stopped();
+            let stopped = task.is_stopped();
             if stopped {
-                // Without an owner nobody waits for the word.
+                // If the owner has ended, nobody needs the report.
                 let _ = reports.send(Report::Returned { key: task.key });
             }
             !stopped
         });
     }
 
-    fn give_back(&self, task: &Task) {
+    fn return_task(&self, task: &Task) {
         self.report(Report::Returned { key: task.key });
     }
 
     fn report(&self, report: Report) {
-        // Without an owner nobody waits for the word.
-        let _ = self.parts.edge.reports.send(report);
+        // If the owner has ended, nobody needs the report.
+        let _ = self.deps.context.reports.send(report);
     }
 
-    /// Sends as many items as there is room for.
-    fn fill(&mut self) {
+    /// Sends as many waiting items as capacity allows.
+    fn send_ready(&mut self) {
         let now = Instant::now();
         let mut full: HashSet<Flow> = HashSet::new();
-        let mut refused = Vec::new();
+        let mut unplaced = Vec::new();
         let mut suspects = false;
-        while self.sent < self.parts.at_once {
+        while self.in_flight < self.deps.max_in_flight {
             let quotas = &self.quotas;
-            let open = |flow: &Flow| !full.contains(flow) && quotas.open(&flow.customer);
+            let open = |flow: &Flow| !full.contains(flow) && quotas.has_capacity(&flow.customer);
             let Some(task) = self.queue.pop(open) else {
                 break;
             };
-            if task.stopped() {
-                self.give_back(&task);
+            if task.is_stopped() {
+                self.return_task(&task);
                 continue;
             }
-            suspects |= task.suspect();
+            suspects |= task.is_suspect();
             match self.place(&task, now) {
-                Some(spot) => self.send(task, spot),
+                Some(placement) => self.send(task, placement),
                 None => {
                     full.insert(task.flow.clone());
-                    refused.push(task);
+                    unplaced.push(task);
                 }
             }
         }
-        for task in refused {
+        for task in unplaced {
             self.push(task);
         }
         if !suspects && full.is_empty() {
-            self.lanes.lift();
+            self.isolation.clear_reservations();
         }
     }
 
-    fn send(&mut self, mut task: Box<Task>, spot: Spot) {
-        let upstream = spot.choice.target.upstream;
-        self.lanes.enter(upstream, task.suspect());
-        self.quotas.enter(&task.flow.customer);
-        self.sent += 1;
-        let edge = self.parts.edge.clone();
-        self.work.spawn(async move {
-            let end = attempt::run(&edge, &mut task, spot).await;
-            Done::Ran {
+    fn send(&mut self, mut task: Box<Task>, placement: Placement) {
+        let upstream = placement.choice.target.upstream;
+        self.isolation.on_sent(upstream, task.is_suspect());
+        self.quotas.on_sent(&task.flow.customer);
+        self.in_flight += 1;
+        let context = self.deps.context.clone();
+        self.running.spawn(async move {
+            let end = attempt::run(&context, &mut task, placement).await;
+            TaskEvent::Attempted {
                 task,
                 upstream,
                 end,
@@ -194,19 +195,19 @@
         });
     }
 
-    fn done(&mut self, done: Result<Done, tokio::task::JoinError>) {
-        match done {
-            Ok(Done::Ran {
+    fn on_task_event(&mut self, event: Result<TaskEvent, tokio::task::JoinError>) {
+        match event {
+            Ok(TaskEvent::Attempted {
                 task,
                 upstream,
                 end,
             }) => {
-                self.sent -= 1;
-                self.lanes.leave(upstream, task.suspect());
-                self.quotas.leave(&task.flow.customer);
-                self.ended(task, end);
+                self.in_flight -= 1;
+                self.isolation.on_returned(upstream, task.is_suspect());
+                self.quotas.on_returned(&task.flow.customer);
+                self.on_attempt_end(task, end);
             }
-            Ok(Done::Rested(task)) => self.push(task),
+            Ok(TaskEvent::BackoffElapsed(task)) => self.push(task),
             Err(error) => log::error!(error:%; "an attempt panicked"),
         }
     }
--- a/crates/tinbank-batch/src/runner/pool/ends.rs
+++ b/crates/tinbank-batch/src/runner/pool/attempt_end.rs
@@ -1,4 +1,4 @@
-//! What follows the end of an attempt: a completion, another try after a pause, or the item is given back.
+//! Handles the end of an attempt: completes the item, retries it after a backoff, or returns it to the owner.
 
 use tinbank_base::{
     event::Kind as Event,
@@ -8,17 +8,17 @@
 };
 use tokio::time;
 
-use super::{Done, MAX_ANSWER_BYTES, Pool};
+use super::{TaskEvent, MAX_ANSWER_BYTES, Pool};
 use crate::runner::{
-    attempt::End,
-    retry::{self, Past, Verdict},
-    task::{Kept, Report, Task},
+    attempt::AttemptEnd,
+    retry::{self, FailureHistory, Verdict},
+    task::{PartialAnswer, Report, Task},
 };
 
 impl Pool {
-    pub(super) fn ended(&mut self, mut task: Box<Task>, end: End) {
+    pub(super) fn on_attempt_end(&mut self, mut task: Box<Task>, end: AttemptEnd) {
         match end {
-            End::Answer(answer) => {
+            AttemptEnd::Answer(answer) => {
                 task.attempts += 1;
                 let outcome = match answer.len() {
                     0..=MAX_ANSWER_BYTES => Outcome::Answer(answer),
@@ -26,46 +26,46 @@
                 };
                 self.complete(&task, outcome);
             }
-            End::Withdrawn => {
+            AttemptEnd::Withdrawn => {
                 task.attempts += 1;
                 metrics::counter!("tinbank_batch_withdrawn_total").increment(1);
                 self.push(task);
             }
-            End::Stopped | End::Lost => self.give_back(&task),
-            End::NotDispatched => self.rest(task),
-            End::Failed(error) => self.failed(task, error),
+            AttemptEnd::Stopped | AttemptEnd::Superseded => self.return_task(&task),
+            AttemptEnd::NotDispatched => self.retry_later(task),
+            AttemptEnd::Failed(error) => self.on_attempt_failed(task, error),
         }
     }
 
-    fn failed(&mut self, mut task: Box<Task>, error: Error) {
+    fn on_attempt_failed(&mut self, mut task: Box<Task>, error: Error) {
         if error.ran != Ran::No {
             task.attempts += 1;
             task.failures += 1;
-            task.losses += u16::from(retry::lost(&error));
+            task.losses += u16::from(retry::is_upstream_loss(&error));
         }
         let refused = matches!(error.kind, Kind::Rejected { .. } | Kind::Crossed(_));
-        if refused && task.kept.tokens > 0 {
-            // The engine may not take up where another one left off.
-            task.kept = Kept::default();
-            self.rest(task);
+        if refused && task.partial_answer.tokens > 0 {
+            // The engine may be unable to resume another engine's answer, so the next attempt starts over.
+            task.partial_answer = PartialAnswer::default();
+            self.retry_later(task);
             return;
         }
-        let past = Past {
+        let history = FailureHistory {
             repeatable: task.repeatable,
             failures: task.failures,
             limit: task.service.attempts,
-            hopeless: task.hopeless(),
+            exceeds_loss_limit: task.exceeds_loss_limit(),
         };
-        match retry::decide(&error, past) {
-            Verdict::Again => {
+        match retry::decide(&error, history) {
+            Verdict::Retry => {
                 let kind = Event::Retried {
                     attempt: task.attempts,
                     reason: error.to_string(),
                 };
-                self.parts.edge.note(&task, error.upstream, kind);
-                self.rest(task);
+                self.deps.context.record_event(&task, error.upstream, kind);
+                self.retry_later(task);
             }
-            Verdict::End(outcome) => self.complete(&task, outcome),
+            Verdict::Fail(outcome) => self.complete(&task, outcome),
         }
     }
 
@@ -79,14 +79,14 @@
         self.report(Report::Ended { key, completion });
     }
 
-    /// Tries again after a pause.
-    fn rest(&mut self, mut task: Box<Task>) {
+    /// Schedules a retry after a backoff with jitter.
+    fn retry_later(&mut self, mut task: Box<Task>) {
         task.tries += 1;
         let spread = rand::random_range(0.5..1.0);
         let pause = retry::backoff(task.tries).mul_f64(spread);
-        self.work.spawn(async move {
+        self.running.spawn(async move {
             time::sleep(pause).await;
-            Done::Rested(task)
+            TaskEvent::BackoffElapsed(task)
         });
     }
 }
--- a/crates/tinbank-batch/src/runner/pool/place.rs
+++ b/crates/tinbank-batch/src/runner/pool/place.rs
@@ -1,4 +1,4 @@
-//! Looks for room for an item.
+//! Finds an upstream that admits an item.
 
 use std::time::{Duration, Instant, SystemTime};
 
@@ -9,70 +9,70 @@
 use tinbank_routing::choice::{Ask, Choice};
 
 use super::Pool;
-use crate::runner::{attempt::Spot, task::Task};
+use crate::runner::{attempt::Placement, task::Task};
 
-/// Most upstreams asked for room for one item in one look.
+/// Maximum upstreams tried for one item in one placement.
 const MAX_CHOICES: usize = 64;
 
 impl Pool {
-    pub(super) fn place(&mut self, task: &Task, now: Instant) -> Option<Spot> {
-        let mut ask = Ask {
+    pub(super) fn place(&mut self, task: &Task, now: Instant) -> Option<Placement> {
+        let mut request = Ask {
             service: &task.service,
             traffic: Traffic::Batch,
             prefix: task.prefix,
             tried: SmallVec::new(),
         };
         for _ in 0..MAX_CHOICES {
-            let Ok(choice) = self.parts.router.choose(&ask, now) else {
+            let Ok(choice) = self.deps.router.choose(&request, now) else {
                 break;
             };
             let upstream = choice.target.upstream;
-            if ask.tried.contains(&upstream) {
+            if request.tried.contains(&upstream) {
                 break;
             }
-            if let Some(spot) = self.enter(task, choice, now) {
-                return Some(spot);
+            if let Some(placement) = self.try_enter(task, choice, now) {
+                return Some(placement);
             }
-            ask.tried.push(upstream);
+            request.tried.push(upstream);
         }
-        if task.suspect() {
-            self.lanes.reserve(&ask.tried);
+        if task.is_suspect() {
+            self.isolation.reserve(&request.tried);
         }
-        self.wish(task, &ask.tried, now);
+        self.request_slots(task, &request.tried, now);
         None
     }
 
-    fn enter(&self, task: &Task, choice: Choice, now: Instant) -> Option<Spot> {
+    fn try_enter(&self, task: &Task, choice: Choice, now: Instant) -> Option<Placement> {
         let upstream = choice.target.upstream;
-        if !self.lanes.open(upstream, task.suspect()) {
+        if !self.isolation.admits(upstream, task.is_suspect()) {
             return None;
         }
         let gate: &dyn Gate = match task.service.kind {
-            hosts::Kind::Engine => &*self.parts.gate,
-            hosts::Kind::Plain => &self.plain,
+            hosts::Kind::Engine => &*self.deps.gate,
+            hosts::Kind::Plain => &self.plain_gate,
         };
         let pass = gate.enter(upstream, &task.flow.customer, now)?;
-        Some(Spot { choice, pass })
+        Some(Placement { choice, pass })
     }
 
-    /// Asks for more room in the upstreams that had none, in equal parts.
-    fn wish(&self, task: &Task, full: &[id::Upstream], now: Instant) {
+    /// Requests more slots, in equal parts, from the upstreams that had none free.
+    fn request_slots(&self, task: &Task, full: &[id::Upstream], now: Instant) {
         if full.is_empty() || task.service.kind == hosts::Kind::Plain {
             return;
         }
         let waiting = self.queue.waiting(&task.flow) + 1;
         let each = waiting.div_ceil(full.len()) as u32;
-        let due = now + until(task.due);
+        let due = now + time_until(task.due);
         for upstream in full {
-            let wanted = each + self.lanes.running(*upstream);
+            let wanted = each + self.isolation.running(*upstream);
             let wanted = u16::try_from(wanted).unwrap_or(u16::MAX);
             let customer = &task.flow.customer;
-            self.parts.gate.wish(*upstream, customer, wanted, due, now);
+            self.deps.gate.wish(*upstream, customer, wanted, due, now);
         }
     }
 }
 
-/// How long until a time; zero when it has passed.
-fn until(at: SystemTime) -> Duration {
+/// Returns the time left until `at`, or zero if it has passed.
+fn time_until(at: SystemTime) -> Duration {
     at.duration_since(SystemTime::now()).unwrap_or_default()
 }
--- a/crates/tinbank-batch/src/runner/quota.rs
+++ b/crates/tinbank-batch/src/runner/quota.rs
@@ -1,19 +1,19 @@
-//! Limits of how many items of a customer are sent at once. Pure.
+//! Limits on the concurrent items of a customer. Pure.
 //!
-//! A customer's limit holds over all hosts: each takes its part of it, by its place among the live ones. While the
-//! hosts see different ones live, the parts may add up to a little more or less.
+//! A customer's limit holds over all hosts: each host takes a share by its place among the live hosts. While hosts
+//! disagree on which are live, the shares may add up to slightly more or less than the limit.
 
 use std::collections::HashMap;
 
 use tinbank_base::id;
 
-/// The part of a limit that the process at `place` of `hosts` takes.
-pub fn of(limit: u32, place: u32, hosts: u32) -> u32 {
+/// Returns the share of a limit for the process at `place` among `hosts`.
+pub fn local_share(limit: u32, place: u32, hosts: u32) -> u32 {
     let hosts = hosts.max(1);
     limit / hosts + u32::from(place < limit % hosts)
 }
 
-/// What each customer has sent, and may send.
+/// The items in flight and the limit of each customer.
 #[derive(Debug, Default)]
 pub struct Quotas(HashMap<id::Customer, Quota>);
 
@@ -24,8 +24,8 @@
 }
 
 impl Quotas {
-    /// Sets a customer's limit in this process; the newest one counts.
-    pub fn limit(&mut self, customer: &str, limit: Option<u32>) {
+    /// Sets a customer's limit in this process, replacing the earlier one.
+    pub fn set_limit(&mut self, customer: &str, limit: Option<u32>) {
         if let Some(quota) = self.0.get_mut(customer) {
             quota.limit = limit;
         } else if limit.is_some() {
@@ -34,21 +34,21 @@
         }
     }
 
-    /// Whether a further item of the customer may be sent.
-    pub fn open(&self, customer: &str) -> bool {
+    /// Returns whether a further item of the customer may be sent.
+    pub fn has_capacity(&self, customer: &str) -> bool {
         let Some(quota) = self.0.get(customer) else {
             return true;
         };
         quota.limit.is_none_or(|limit| quota.sent < limit)
     }
 
-    /// An item of the customer was sent.
-    pub fn enter(&mut self, customer: &str) {
+    /// Records that an item of the customer was sent.
+    pub fn on_sent(&mut self, customer: &str) {
         self.0.entry(customer.to_owned()).or_default().sent += 1;
     }
 
-    /// An item of the customer is back.
-    pub fn leave(&mut self, customer: &str) {
+    /// Records that an item of the customer has ended.
+    pub fn on_returned(&mut self, customer: &str) {
         let Some(quota) = self.0.get_mut(customer) else {
             return;
         };
--- a/crates/tinbank-batch/src/runner/retry.rs
+++ b/crates/tinbank-batch/src/runner/retry.rs
@@ -1,4 +1,4 @@
-//! What to do after an attempt that gave no whole answer. Pure. See `docs/design/items.md`.
+//! Decides whether a failed attempt is retried. Pure. See `docs/design/items.md`.
 
 use std::time::Duration;
 
@@ -8,70 +8,68 @@
     record::work::Outcome,
 };
 
-/// Wait after the first attempt; it doubles with each further one.
+/// Backoff after the first attempt; it doubles with each further one.
 const FIRST_BACKOFF: Duration = Duration::from_millis(50);
-/// Longest wait between two attempts.
-const LONGEST_BACKOFF: Duration = Duration::from_secs(5);
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
-/// What is known of an item that is retried.
+/// The failures of an item and its retry limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Past {
-    /// Whether it may run more than once.
+pub struct FailureHistory {
+    /// Whether the item may run more than once.
     pub repeatable: bool,
-    /// How many of its attempts failed and may have run, the last one included.
+    /// Number of failed attempts that may have run, including the last one.
     pub failures: u16,
-    /// How many times it may be sent at most.
+    /// Maximum number of failed attempts.
     pub limit: u16,
-    /// Whether it took so many upstreams down that it is given up.
-    pub hopeless: bool,
+    /// Whether the item has lost so many upstreams that it must fail.
+    pub exceeds_loss_limit: bool,
 }
 
-/// What to do.
+/// What to do after a failed attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Try again.
-    Again,
-    /// It ends as failed.
-    End(Outcome),
+    Retry,
+    /// The item ends with this failure.
+    Fail(Outcome),
 }
 
-/// Decides after a failed attempt.
+/// Decides whether to retry after a failed attempt.
 ///
-/// What provably did not run is tried again without being counted, for the item has done nothing wrong; whatever
-/// may have run is only tried again if the caller allowed it.
-pub fn decide(error: &Error, past: Past) -> Verdict {
+/// An attempt that certainly did not run is retried without limit, since the item is not at fault. One that may have run
+/// is retried only if the item is repeatable.
+pub fn decide(error: &Error, history: FailureHistory) -> Verdict {
     if let Kind::Rejected { .. } = error.kind {
-        return end(Code::UpstreamRejected, error);
+        return fail(Code::UpstreamRejected, error);
     }
     if error.ran == Ran::No {
-        return Verdict::Again;
+        return Verdict::Retry;
     }
-    if !past.repeatable {
+    if !history.repeatable {
         let code = match error.ran {
             Ran::Yes => Code::UpstreamFailed,
             _ => Code::OutcomeUnknown,
         };
-        return end(code, error);
+        return fail(code, error);
     }
-    if past.failures >= past.limit || past.hopeless {
-        return end(Code::UpstreamFailed, error);
+    if history.failures >= history.limit || history.exceeds_loss_limit {
+        return fail(Code::UpstreamFailed, error);
     }
-    Verdict::Again
+    Verdict::Retry
 }
 
-/// Whether the attempt ended with the upstream itself, which makes the item suspect.
-pub fn lost(error: &Error) -> bool {
+/// Returns whether the upstream was lost during the attempt, which makes the item a suspect.
+pub fn is_upstream_loss(error: &Error) -> bool {
     matches!(error.kind, Kind::Cut(_))
 }
 
-/// How long to wait before the next attempt, after `tries` in a row.
+/// Returns the delay before the next attempt, after `tries` retries.
 pub fn backoff(tries: u32) -> Duration {
     let doubled = FIRST_BACKOFF * 2_u32.pow(tries.saturating_sub(1).min(16));
-    doubled.min(LONGEST_BACKOFF)
+    doubled.min(MAX_BACKOFF)
 }
 
-fn end(code: Code, error: &Error) -> Verdict {
-    Verdict::End(Outcome::Failed {
+fn fail(code: Code, error: &Error) -> Verdict {
+    Verdict::Fail(Outcome::Failed {
         code,
         ran: error.ran,
         message: error.to_string(),
--- a/crates/tinbank-batch/src/runner/share.rs
+++ b/crates/tinbank-batch/src/runner/scheduler.rs
@@ -1,7 +1,7 @@
-//! Shares capacity between flows by deficit round robin, and within a flow by due time. Pure.
+//! Shares capacity between flows by deficit round robin, and orders work within a flow by due time. Pure.
 //!
-//! A flow is one customer's work for one service: services have pools of their own, so a customer's share holds
-//! within each pool. See `docs/design/batch-sharing.md`.
+//! A flow is one customer's work for one service. Each service has its own pool, so a customer's share applies within
+//! each pool. See `docs/design/batch-sharing.md`.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -12,13 +12,13 @@
 /// Deficit that a flow of weight 1 gains in each round.
 pub const QUANTUM: u64 = 1;
 
-/// Queues of work by flow.
+/// Queues work by flow.
 #[derive(Debug)]
 pub struct Scheduler<K, T> {
     flows: HashMap<K, Flow<T>>,
     /// Flows with waiting work, in the order of their turns.
     ring: VecDeque<K>,
-    /// Keeps work of equal due times in the order of arrival.
+    /// Tie-breaker that keeps work with equal due times in order of arrival.
     sequence: u64,
     waiting: usize,
 }
@@ -27,7 +27,7 @@
 struct Flow<T> {
     weight: u64,
     deficit: u64,
-    /// Whether the flow has had its quantum in this turn.
+    /// Whether the flow has received its quantum in this turn.
     visited: bool,
     queue: BTreeMap<(SystemTime, u64), Entry<T>>,
 }
@@ -71,7 +71,7 @@
         self.waiting += 1;
     }
 
-    /// Takes the next work among the flows that `open` lets through. A flow that is held back neither gains nor loses.
+    /// Takes the next work from the flows for which `open` returns true. The deficit of a skipped flow does not change.
     pub fn pop(&mut self, mut open: impl FnMut(&K) -> bool) -> Option<T> {
         let mut closed = 0;
         while closed < self.ring.len() {
@@ -90,7 +90,7 @@
         None
     }
 
-    /// Drops all waiting work that `keep` doesn't want kept.
+    /// Drops all waiting work for which `keep` returns false.
     pub fn retain(&mut self, mut keep: impl FnMut(&T) -> bool) {
         for flow in self.flows.values_mut() {
             flow.queue.retain(|_, entry| keep(&entry.value));
@@ -101,7 +101,7 @@
         self.waiting = self.flows.values().map(|flow| flow.queue.len()).sum();
     }
 
-    /// Flows with waiting work: how much waits and when the first is due.
+    /// Returns the flows with waiting work, the number of entries waiting, and the earliest due time.
     pub fn flows(&self) -> impl Iterator<Item = (&K, usize, SystemTime)> {
         self.flows.iter().filter_map(|(key, flow)| {
             let ((due, _), _) = flow.queue.first_key_value()?;
@@ -109,23 +109,22 @@
         })
     }
 
-    /// How much work of a flow waits.
+    /// Returns the number of waiting entries of a flow.
     pub fn waiting(&self, key: &K) -> usize {
         self.flows.get(key).map_or(0, |flow| flow.queue.len())
     }
 
-    /// How much work waits.
+    /// Returns the number of waiting entries.
     pub fn len(&self) -> usize {
         self.waiting
     }
 
-    /// Whether nothing waits.
     pub fn is_empty(&self) -> bool {
         self.waiting == 0
     }
 
-    /// Serves the flow at the front of the ring if its deficit covers its first work. The flow keeps the front as long
-    /// as it does; `None` ends its turn.
+    /// Takes the first work of the flow at the front of the ring, if its deficit covers the cost; the flow stays at the
+    /// front. `None` ends its turn.
     fn serve(&mut self, key: &K) -> Option<T> {
         let flow = self.flows.get_mut(key)?;
         if !flow.visited {
--- a/crates/tinbank-batch/src/runner/task.rs
+++ b/crates/tinbank-batch/src/runner/task.rs
@@ -1,4 +1,4 @@
-//! An item in hand, from when its chunk is loaded until its end is told to the owner.
+//! An item assigned to the runner, from when its chunk is loaded until its end is reported to the owner.
 
 use std::{sync::Arc, time::SystemTime};
 
@@ -8,136 +8,137 @@
 use tinbank_ledger::suspect::Policy;
 use tokio::sync::{oneshot, watch};
 
-/// Which item, and under which term of its shard's lease it is in hand.
+/// Identifies an item and the term of its shard's lease under which it runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Key {
-    /// The shard of its chunk.
+    /// Shard of the item's chunk.
     pub shard: id::Shard,
-    /// The owner's term.
+    /// Term of the shard's lease.
     pub epoch: id::Epoch,
-    /// Its job.
+    /// Job of the item.
     pub job: id::Job,
-    /// Its chunk.
+    /// Chunk of the item.
     pub chunk: id::Chunk,
-    /// The item.
+    /// Number of the item.
     pub item: id::Item,
 }
 
-/// What a customer's share is counted for: services have pools of their own.
+/// The unit of fair sharing: one customer's work for one service, since each service has its own pool.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Flow {
-    /// Whose work it is.
+    /// Customer that owns the work.
     pub customer: id::Customer,
-    /// For which service.
+    /// Service that runs the work.
     pub service: id::Service,
 }
 
-/// The part of an answer that was received before a stream ended early.
+/// The part of a streamed answer received so far. Kept over attempts, so that a retry can resume.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Kept {
-    /// Text of the tokens.
+pub struct PartialAnswer {
+    /// Text of the received tokens.
     pub text: String,
-    /// How many tokens.
+    /// Number of received tokens.
     pub tokens: u32,
 }
 
-/// An item in hand.
+/// An item assigned to the runner.
 #[derive(Clone, Debug)]
 pub struct Task {
-    /// Which item.
+    /// The item and its lease term.
     pub key: Key,
-    /// Whose share it draws on.
+    /// The flow whose share the item uses.
     pub flow: Flow,
-    /// The customer's weight.
+    /// The customer's weight in fair sharing.
     pub weight: u32,
-    /// How many items of the customer this process may send at once; `None`: any number.
-    pub at_once: Option<u32>,
-    /// What runs it.
+    /// Maximum items of the customer in flight in this process; `None` if unlimited.
+    pub concurrency_limit: Option<u32>,
+    /// The service that runs the item.
     pub service: Arc<Service>,
-    /// When its job is due.
+    /// Due time of the job.
     pub due: SystemTime,
-    /// What is sent.
+    /// Request body sent to the upstream.
     pub body: Bytes,
-    /// Hash of the start of its prompt, by [`tinbank_routing::prefix::of_body`].
+    /// Hash of the prompt's prefix, by [`tinbank_routing::prefix::of_body`].
     pub prefix: u64,
-    /// Whether it may run more than once.
+    /// Whether the item may run more than once.
     pub repeatable: bool,
-    /// How many times it was sent and may have run.
+    /// Number of attempts that may have run.
     pub attempts: u16,
-    /// How many of the attempts failed; giving way to online requests is no failure.
+    /// Number of attempts that failed. Withdrawal in favour of online requests does not count.
     pub failures: u16,
-    /// How many of the failures were the loss of the upstream.
+    /// Number of failures in which the upstream was lost.
     pub losses: u16,
-    /// How many tries in a row ended without an answer, those that did not run included.
+    /// Number of retries so far, including tries that did not run.
     pub tries: u32,
-    /// The request of its latest attempt.
+    /// Request ID of the latest attempt.
     pub request: Option<id::Request>,
-    /// Tokens received so far.
-    pub kept: Kept,
-    /// Whether the item is still to be run here.
-    pub stop: watch::Receiver<Stop>,
+    /// Answer received so far.
+    pub partial_answer: PartialAnswer,
+    /// Whether the item is still to be run by this process.
+    pub run_mode: watch::Receiver<RunMode>,
 }
 
-/// Whether items of a job are still to be run by this process.
+/// Whether this process still runs the items of a job.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Stop {
-    /// They are.
+pub enum RunMode {
+    /// Run all items.
     #[default]
-    Go,
-    /// Those that were sent are to be finished, the others are given up.
+    Run,
+    /// Finish items already sent; return the others.
     Drain,
-    /// None is: the job was cancelled, or the lease is gone.
-    Now,
+    /// Stop all items: the job was cancelled or the lease was lost.
+    Abort,
 }
 
 impl Task {
-    /// Whether it is no longer to be sent.
-    pub fn stopped(&self) -> bool {
-        *self.stop.borrow() != Stop::Go
+    /// Returns whether the item must no longer be sent.
+    pub fn is_stopped(&self) -> bool {
+        *self.run_mode.borrow() != RunMode::Run
     }
 
-    /// Whether it is suspected of taking upstreams down, and so is only sent where nothing else of ours is.
-    pub fn suspect(&self) -> bool {
+    /// Returns whether the item is suspected of crashing upstreams. A suspect is only sent to an upstream that runs no other
+    /// item of this process.
+    pub fn is_suspect(&self) -> bool {
         self.losses >= Policy::default().alone_after
     }
 
-    /// Whether it took so many upstreams down that it is given up.
-    pub fn hopeless(&self) -> bool {
+    /// Returns whether the item has lost so many upstreams that it must fail.
+    pub fn exceeds_loss_limit(&self) -> bool {
         self.losses >= Policy::default().give_up_after
     }
 }
 
-/// What the runner tells the owner. Each task ends with exactly one of `Ended` and `Returned`.
+/// Messages from the runner to the owner. Each task ends with exactly one `Ended` or `Returned`.
 #[derive(Debug)]
 pub enum Report {
-    /// The item may not be repeated and is about to be sent: it has to be dispatched in the log first.
+    /// A non-repeatable item is about to be sent and has to be dispatched in the log first.
     Dispatch {
-        /// Which item.
+        /// The item.
         key: Key,
-        /// Whether it may be sent.
+        /// Receives the decision whether the item may be sent.
         reply: oneshot::Sender<Permit>,
     },
     /// The item has ended.
     Ended {
-        /// Which item.
+        /// The item.
         key: Key,
-        /// How.
+        /// The outcome.
         completion: Completion,
     },
-    /// The item was given up here without an end.
+    /// The runner stopped working on the item without an outcome.
     Returned {
-        /// Which item.
+        /// The item.
         key: Key,
     },
 }
 
-/// Whether an item that may not be repeated may be sent.
+/// Whether a non-repeatable item may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Permit {
-    /// Its dispatch was read back as the first.
+    /// The item's dispatch was read back and is the first.
     Send,
-    /// It was not dispatched, and may be tried again later.
+    /// The dispatch was not appended; it may be retried later.
     Later,
-    /// Another dispatch counts: it must not be sent here.
+    /// Another dispatch comes first, or the lease was lost: the item must not be sent.
     Never,
 }
--- a/crates/tinbank-batch/src/server.rs
+++ b/crates/tinbank-batch/src/server.rs
@@ -19,7 +19,7 @@
     control,
     intake::Limits,
     owner::answer::Credits,
-    runner::{partition::Partition, room::Room},
+    runner::{partition::Partition, concurrency_gate::ConcurrencyGate},
     service::{Edges, Service},
     settings::{Admission, Settings},
 };
@@ -175,7 +175,7 @@
 ) -> Edges {
     let gate: Arc<dyn Gate> = match settings.admission {
         Admission::Credits => Arc::new(admission.clone()),
-        Admission::Bounded => Arc::new(Room::new(settings.items_per_upstream)),
+        Admission::Bounded => Arc::new(ConcurrencyGate::new(settings.items_per_upstream)),
         Admission::Static => Arc::new(Partition::new(
             core.writer.process,
             core.clone(),
--- a/crates/tinbank-batch/src/service.rs
+++ b/crates/tinbank-batch/src/service.rs
@@ -26,10 +26,10 @@
     http::{Context, api},
     intake::{Intake, Limits},
     owner::{
-        Owner, Parts,
+        Owner, Dependencies,
         answer::{Answerer, Credits},
     },
-    runner::{attempt::Edge, pool},
+    runner::{attempt::AttemptContext, pool},
 };
 
 /// What a batch process reaches, and its bounds.
@@ -113,22 +113,22 @@
             )
         };
         let (reports, reported) = mpsc::unbounded_channel();
-        let edge = Edge {
+        let context = AttemptContext {
             upstreams: edges.upstreams,
             reports,
             recorder: edges.recorder.clone(),
         };
         let pool = {
             let _traffic = traffic.enter();
-            pool::start(pool::Parts {
-                edge,
+            pool::start(pool::Dependencies {
+                context,
                 router: edges.router,
                 gate: edges.gate,
-                plain_at_once: edges.plain_at_once,
-                at_once: edges.items_at_once,
+                max_plain_calls: edges.plain_at_once,
+                max_in_flight: edges.items_at_once,
             })
         };
-        let parts = Parts {
+        let deps = Dependencies {
             me: edges.me,
             shards: edges.shards,
             terms: edges.terms,
@@ -145,7 +145,7 @@
         };
         let (owner, task) = {
             let _control = edges.handles.control.enter();
-            Owner::start(parts, reported)
+            Owner::start(deps, reported)
         };
         let answerer = Answerer::new(owner.clone(), edges.log, edges.follower, edges.credits);
         let owner_client = OwnerClient {
--- a/crates/tinbank-batch/tests/attempt.rs
+++ b/crates/tinbank-batch/tests/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at an item, against engines that keep an account.
+//! One attempt at an item, against fake engines that record requests and cancels.
 
 #[path = "support/engines.rs"]
 #[expect(dead_code, reason = "the other tests use the rest")]
@@ -14,21 +14,21 @@
 use tinbank_admission::Pass;
 use tinbank_base::id;
 use tinbank_batch::runner::{
-    attempt::{self, Edge, End, Spot},
-    task::{Flow, Kept, Key, Stop, Task},
+    attempt::{self, AttemptContext, AttemptEnd, Placement},
+    task::{Flow, PartialAnswer, Key, RunMode, Task},
 };
 use tinbank_configuration::{service::Service, template::Traffic};
 use tinbank_routing::choice::{Ask, Router};
 use tinbank_timeline::Recorder;
 use tokio::sync::{mpsc, watch};
 
-fn edge(engines: &Engines) -> Edge {
+fn context(engines: &Engines) -> AttemptContext {
     let (reports, _) = mpsc::unbounded_channel();
     let process = id::Process {
         host: 1,
         role: id::Role::Batch,
     };
-    Edge {
+    AttemptContext {
         upstreams: Arc::new(engines.clone()),
         reports,
         recorder: Recorder::new(process, 16),
@@ -39,7 +39,7 @@
     serde_json::from_value(serde_json::json!({"kind": "engine", "pool": "notes"})).unwrap()
 }
 
-fn task(stop: watch::Receiver<Stop>) -> Task {
+fn task(run_mode: watch::Receiver<RunMode>) -> Task {
     let body = serde_json::json!({"messages": [{"content": "note 1"}]});
     Task {
         key: Key {
@@ -54,7 +54,7 @@
             service: "notes".into(),
         },
         weight: 1,
-        at_once: None,
+        concurrency_limit: None,
         service: Arc::new(service()),
         due: SystemTime::UNIX_EPOCH,
         body: body.to_string().into(),
@@ -65,12 +65,12 @@
         losses: 0,
         tries: 0,
         request: None,
-        kept: Kept::default(),
-        stop,
+        partial_answer: PartialAnswer::default(),
+        run_mode,
     }
 }
 
-fn spot(engines: &Engines, withdrawn: watch::Receiver<bool>) -> Spot {
+fn placement(engines: &Engines, withdrawn: watch::Receiver<bool>) -> Placement {
     let ask = Ask {
         service: &service(),
         traffic: Traffic::Batch,
@@ -84,52 +84,51 @@
         withdrawn,
         guard: Box::new(()),
     };
-    Spot { choice, pass }
+    Placement { choice, pass }
 }
 
-/// How many requests were started at the engines, and how many were cancelled there.
+/// Returns the number of requests started and of requests cancelled at the engines.
 fn account(engines: &Engines) -> (usize, usize) {
     let cancelled = engines.read(|account| account.cancelled.len());
     (engines.starts(), cancelled)
 }
 
-/// Seen beside load: the job was cancelled between the choice of an engine and the send, and the engine was told to
-/// cancel a request that it had never got.
+/// Guards against sending a cancel for a request that the engine never received.
 #[yare::parameterized(
-    stopped = { Stop::Now, false },
-    withdrawn = { Stop::Go, true },
+    stopped = { RunMode::Abort, false },
+    withdrawn = { RunMode::Run, true },
 )]
 #[test_macro(tokio::test)]
-async fn what_was_never_sent_is_not_cancelled_at_the_engine(stop: Stop, withdraw: bool) {
+async fn a_request_that_was_never_sent_is_not_cancelled_at_the_engine(run_mode: RunMode, withdraw: bool) {
     let engines = Engines::new(1);
-    let (_stop, stopped) = watch::channel(stop);
+    let (_stop, stopped) = watch::channel(run_mode);
     let (_withdraw, withdrawn) = watch::channel(withdraw);
     let mut task = task(stopped);
 
-    let end = attempt::run(&edge(&engines), &mut task, spot(&engines, withdrawn)).await;
+    let end = attempt::run(&context(&engines), &mut task, placement(&engines, withdrawn)).await;
 
-    assert!(matches!(end, End::Stopped | End::Withdrawn), "{end:?}");
+    assert!(matches!(end, AttemptEnd::Stopped | AttemptEnd::Withdrawn), "{end:?}");
     assert_eq!(account(&engines), (0, 0));
 }
 
 #[tokio::test]
-async fn what_was_sent_is_cancelled_at_the_engine_once() {
+async fn a_sent_request_is_cancelled_at_the_engine_once() {
     let engines = Engines::new(1);
     engines.hold();
-    let (stop, stopped) = watch::channel(Stop::Go);
+    let (run_mode, stopped) = watch::channel(RunMode::Run);
     let (_withdraw, withdrawn) = watch::channel(false);
     let mut task = task(stopped);
-    let edge = edge(&engines);
+    let context = context(&engines);
 
-    let run = attempt::run(&edge, &mut task, spot(&engines, withdrawn));
+    let run = attempt::run(&context, &mut task, placement(&engines, withdrawn));
     let cancel = async {
         while engines.starts() == 0 {
             tokio::task::yield_now().await;
         }
-        stop.send_replace(Stop::Now);
+        run_mode.send_replace(RunMode::Abort);
     };
     let (end, ()) = tokio::join!(run, cancel);
 
-    assert!(matches!(end, End::Stopped), "{end:?}");
+    assert!(matches!(end, AttemptEnd::Stopped), "{end:?}");
     assert_eq!(account(&engines), (1, 1));
 }
--- a/crates/tinbank-batch/tests/intake.rs
+++ b/crates/tinbank-batch/tests/intake.rs
@@ -1,4 +1,4 @@
-//! A body is read in whatever parts it comes, and every fault is told with its line.
+//! Parsing of job bodies split at any point, validation errors with their line, and splitting into chunks.
 
 use proptest::{
     prelude::*,
@@ -63,7 +63,7 @@
     missing = { "{\"custom_id\":\"a\"}", 1, "missing field `body` (column 17)" },
     not_utf8_escape = { "{\"custom_id\":\"\\ud800\",\"body\":{}}", 1, "unexpected end of hex escape (column 21)" },
 )]
-fn malformed_lines_are_told_with_their_place(text: &str, line: u64, message: &str) {
+fn malformed_lines_are_reported_with_their_position(text: &str, line: u64, message: &str) {
     let finding = read(text).unwrap_err();
 
     let kind = Kind::Malformed(message.to_owned());
@@ -78,12 +78,12 @@
     empty = { "\n  \n", 1, Kind::Empty },
     many = { "{\"custom_id\":\"a\",\"body\":{}}\n{\"custom_id\":\"b\",\"body\":{}}\n{\"custom_id\":\"c\",\"body\":{}}\n{\"custom_id\":\"d\",\"body\":{}}", 4, Kind::Items { limit: 3 } },
 )]
-fn faults_are_told_with_their_line(text: &str, line: u64, kind: Kind) {
+fn findings_name_their_line(text: &str, line: u64, kind: Kind) {
     assert_eq!(read(text).unwrap_err(), Finding { line, kind });
 }
 
 #[test]
-fn a_line_without_end_is_refused_before_it_fills_memory() {
+fn an_overlong_line_is_rejected_before_its_end() {
     let mut parser = Parser::new(limits(), true);
     let mut items = Vec::new();
     parser.push(&[b' '; 150], &mut items).unwrap();
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_body_over_its_limit_is_refused() {
+fn a_body_over_the_size_limit_is_rejected() {
     let text = format!("{}\n", " ".repeat(150)).repeat(7);
 
     assert_eq!(read(&text).unwrap_err().kind, Kind::Bytes { limit: 1_000 });
@@ -128,7 +128,7 @@
     })]
 
     #[test]
-    fn parts_make_no_difference(
+    fn the_result_does_not_depend_on_how_the_body_is_split(
         lines in prop::collection::vec("(\\{\"custom_id\":\"[a-c]{1,2}\",\"body\":\\{\\}\\}|[ {}x]{0,5})", 0..6),
         cuts in prop::collection::vec(1_usize..40, 1..20),
     ) {
--- a/crates/tinbank-batch/tests/partition.rs
+++ b/crates/tinbank-batch/tests/partition.rs
@@ -1,6 +1,6 @@
-//! The fixed division of an engine's slots.
+//! Static partition of an engine's slots.
 
-use tinbank_batch::runner::partition::part;
+use tinbank_batch::runner::partition::slots_for_rank;
 use yare::parameterized;
 
 #[parameterized(
@@ -9,9 +9,9 @@
     more = { 8, 3 },
     none = { 0, 9 },
 )]
-fn all_slots_are_dealt_out_once(slots: u32, processes: usize) {
+fn every_slot_is_allocated_once(slots: u32, processes: usize) {
     let parts: Vec<_> = (0..processes)
-        .map(|rank| part(slots, processes, rank))
+        .map(|rank| slots_for_rank(slots, processes, rank))
         .collect();
 
     let (least, most) = (parts.iter().min(), parts.iter().max());
--- a/crates/tinbank-batch/tests/runner.rs
+++ b/crates/tinbank-batch/tests/runner.rs
@@ -1,4 +1,4 @@
-//! The runner's decisions: what is tried again, where a suspect goes, how much of a limit is ours.
+//! The runner's decisions: retries, isolation of suspects, and shares of limits.
 
 use tinbank_base::{
     outcome::{Code, Ran},
@@ -7,10 +7,10 @@
 };
 use tinbank_batch::runner::{
     answer,
-    lanes::Lanes,
+    isolation::SuspectIsolation,
     quota::{self, Quotas},
-    retry::{self, Past, Verdict},
-    task::Kept,
+    retry::{self, FailureHistory, Verdict},
+    task::PartialAnswer,
 };
 
 fn error(ran: Ran, kind: Kind) -> Error {
@@ -32,42 +32,42 @@
     }
 }
 
-fn past(repeatable: bool, failures: u16) -> Past {
-    Past {
+fn history(repeatable: bool, failures: u16) -> FailureHistory {
+    FailureHistory {
         repeatable,
         failures,
         limit: 3,
-        hopeless: false,
+        exceeds_loss_limit: false,
     }
 }
 
-/// The code that an item ends with; `None` if it is tried again.
+/// Returns the code that an item fails with; `None` if it is retried.
 fn code(verdict: Verdict) -> Option<Code> {
     match verdict {
-        Verdict::Again => None,
-        Verdict::End(Outcome::Failed { code, .. }) => Some(code),
-        Verdict::End(Outcome::Answer(_)) => panic!("a failure became an answer"),
+        Verdict::Retry => None,
+        Verdict::Fail(Outcome::Failed { code, .. }) => Some(code),
+        Verdict::Fail(Outcome::Answer(_)) => panic!("a failure became an answer"),
     }
 }
 
 #[yare::parameterized(
-    not_run = { Ran::No, Kind::Full, past(true, 99), None },
-    not_run_order = { Ran::No, Kind::Connect(String::new()), past(false, 0), None },
-    unknown = { Ran::Unknown, cut(), past(true, 2), None },
-    unknown_too_often = { Ran::Unknown, cut(), past(true, 3), Some(Code::UpstreamFailed) },
-    unknown_order = { Ran::Unknown, cut(), past(false, 1), Some(Code::OutcomeUnknown) },
-    failed_order = { Ran::Yes, cut(), past(false, 1), Some(Code::UpstreamFailed) },
-    malformed = { Ran::No, rejected(), past(true, 0), Some(Code::UpstreamRejected) },
-    hopeless = { Ran::Unknown, cut(), Past { hopeless: true, ..past(true, 1) }, Some(Code::UpstreamFailed) },
+    not_run = { Ran::No, Kind::Full, history(true, 99), None },
+    not_run_order = { Ran::No, Kind::Connect(String::new()), history(false, 0), None },
+    unknown = { Ran::Unknown, cut(), history(true, 2), None },
+    unknown_too_often = { Ran::Unknown, cut(), history(true, 3), Some(Code::UpstreamFailed) },
+    unknown_order = { Ran::Unknown, cut(), history(false, 1), Some(Code::OutcomeUnknown) },
+    failed_order = { Ran::Yes, cut(), history(false, 1), Some(Code::UpstreamFailed) },
+    malformed = { Ran::No, rejected(), history(true, 0), Some(Code::UpstreamRejected) },
+    exceeds_loss_limit = { Ran::Unknown, cut(), FailureHistory { exceeds_loss_limit: true, ..history(true, 1) }, Some(Code::UpstreamFailed) },
 )]
-fn only_what_may_is_tried_again(ran: Ran, kind: Kind, past: Past, expected: Option<Code>) {
-    let verdict = retry::decide(&error(ran, kind), past);
+fn retries_only_attempts_that_did_not_run_or_are_repeatable(ran: Ran, kind: Kind, history: FailureHistory, expected: Option<Code>) {
+    let verdict = retry::decide(&error(ran, kind), history);
 
     assert_eq!(code(verdict), expected);
 }
 
 #[test]
-fn pauses_grow_up_to_a_bound() {
+fn backoff_grows_up_to_a_limit() {
     let pauses: Vec<_> = (1..40).map(retry::backoff).collect();
 
     assert!(pauses.is_sorted());
@@ -75,51 +75,51 @@
 }
 
 #[test]
-fn a_suspect_is_alone_in_its_lane() {
-    let mut lanes = Lanes::default();
-    lanes.enter(1, false);
-    lanes.enter(2, false);
-    lanes.enter(2, false);
-
-    assert!(!lanes.open(1, true));
-    lanes.reserve(&[1, 2]);
-    let others = (lanes.open(1, false), lanes.open(2, false));
-    lanes.leave(1, false);
-    let suspect = lanes.open(1, true);
-    lanes.enter(1, true);
-    let beside = (lanes.open(1, false), lanes.open(1, true));
-    lanes.leave(1, true);
+fn a_suspect_runs_alone_in_its_upstream() {
+    let mut isolation = SuspectIsolation::default();
+    isolation.on_sent(1, false);
+    isolation.on_sent(2, false);
+    isolation.on_sent(2, false);
+
+    assert!(!isolation.admits(1, true));
+    isolation.reserve(&[1, 2]);
+    let others = (isolation.admits(1, false), isolation.admits(2, false));
+    isolation.on_returned(1, false);
+    let suspect = isolation.admits(1, true);
+    isolation.on_sent(1, true);
+    let beside = (isolation.admits(1, false), isolation.admits(1, true));
+    isolation.on_returned(1, true);
 
     assert_eq!(
         (others, suspect, beside),
         ((false, true), true, (false, false))
     );
-    assert!(lanes.open(1, false));
+    assert!(isolation.admits(1, false));
 }
 
 #[yare::parameterized(even = { 12, 4 }, uneven = { 13, 4 }, few = { 2, 5 }, none = { 0, 3 })]
-fn parts_of_a_limit_add_up_to_it(limit: u32, hosts: u32) {
-    let sum: u32 = (0..hosts).map(|place| quota::of(limit, place, hosts)).sum();
+fn local_shares_add_up_to_the_limit(limit: u32, hosts: u32) {
+    let sum: u32 = (0..hosts).map(|place| quota::local_share(limit, place, hosts)).sum();
 
     assert_eq!(sum, limit);
 }
 
 #[test]
-fn a_customer_over_its_limit_waits() {
+fn a_customer_at_its_limit_waits() {
     let mut quotas = Quotas::default();
-    quotas.limit("a", Some(2));
-    quotas.enter("a");
-    quotas.enter("a");
-    quotas.enter("b");
+    quotas.set_limit("a", Some(2));
+    quotas.on_sent("a");
+    quotas.on_sent("a");
+    quotas.on_sent("b");
 
-    let full = (quotas.open("a"), quotas.open("b"));
-    quotas.leave("a");
+    let full = (quotas.has_capacity("a"), quotas.has_capacity("b"));
+    quotas.on_returned("a");
 
-    assert_eq!((full, quotas.open("a")), ((false, true), true));
+    assert_eq!((full, quotas.has_capacity("a")), ((false, true), true));
 }
 
 #[test]
-fn only_a_whole_answer_in_order_is_an_answer() {
+fn a_completion_requires_all_tokens_in_order() {
     let token = |index| Part::Token {
         index,
         text: "x".to_owned(),
@@ -128,12 +128,12 @@
         reason: "stop".to_owned(),
         tokens,
     };
-    let mut kept = Kept::default();
-    assert_eq!(answer::take(&mut kept, token(0), 7, "notes"), Ok(None));
+    let mut partial_answer = PartialAnswer::default();
+    assert_eq!(answer::push_part(&mut partial_answer, token(0), 7, "notes"), Ok(None));
 
-    let jumped = answer::take(&mut kept.clone(), token(2), 7, "notes");
-    let short = answer::take(&mut kept.clone(), end(2), 7, "notes");
-    let whole = answer::take(&mut kept, end(1), 7, "notes")
+    let jumped = answer::push_part(&mut partial_answer.clone(), token(2), 7, "notes");
+    let short = answer::push_part(&mut partial_answer.clone(), end(2), 7, "notes");
+    let whole = answer::push_part(&mut partial_answer, end(1), 7, "notes")
         .unwrap()
         .unwrap();
 
--- a/crates/tinbank-batch/tests/share.rs
+++ b/crates/tinbank-batch/tests/scheduler.rs
@@ -1,8 +1,8 @@
-//! Capacity goes to flows by weight, and within a flow to what is due first.
+//! Capacity is shared between flows by weight, and within a flow by due time.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use tinbank_batch::runner::share::Scheduler;
+use tinbank_batch::runner::scheduler::Scheduler;
 
 type Queue = Scheduler<&'static str, u32>;
 
@@ -21,7 +21,7 @@
     three_to_one = { 3, 1, 75 },
     one_to_four = { 1, 4, 20 },
 )]
-fn capacity_goes_by_weight(first: u32, second: u32, expected: usize) {
+fn capacity_is_shared_by_weight(first: u32, second: u32, expected: usize) {
     let mut queue = Queue::default();
     fill(&mut queue, "a", first, 0..1_000);
     fill(&mut queue, "b", second, 1_000..2_000);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_flow_gives_what_is_due_first() {
+fn a_flow_yields_the_earliest_due_work_first() {
     let mut queue = Queue::default();
     queue.push("a", 1, due(30), 1, 30);
     queue.push("a", 1, due(10), 1, 10);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_closed_flow_is_passed_over() {
+fn a_closed_flow_is_skipped() {
     let mut queue = Queue::default();
     fill(&mut queue, "a", 1, 0..2);
     fill(&mut queue, "b", 1, 10..12);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn costly_work_waits_until_its_flow_has_saved_up() {
+fn costly_work_waits_until_its_flow_has_enough_deficit() {
     let mut queue = Queue::default();
     queue.push("a", 1, due(0), 3, 0);
     fill(&mut queue, "b", 1, 10..20);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn dropped_work_does_not_come_up() {
+fn dropped_work_is_not_returned() {
     let mut queue = Queue::default();
     fill(&mut queue, "a", 1, 0..5);
     fill(&mut queue, "b", 1, 10..12);
--- a/crates/tinbank-batch/tests/support/gate.rs
+++ b/crates/tinbank-batch/tests/support/gate.rs
@@ -7,13 +7,13 @@
 
 use tinbank_admission::{Gate, Pass};
 use tinbank_base::id;
-use tinbank_batch::runner::room::Room;
+use tinbank_batch::runner::concurrency_gate::ConcurrencyGate;
 use tokio::sync::watch;
 
 /// Lets eight items into each engine, and none after [`Valve::withdraw`].
 #[derive(Clone, Debug)]
 pub struct Valve {
-    room: Room,
+    gate: ConcurrencyGate,
     state: Arc<Mutex<State>>,
 }
 
@@ -26,7 +26,7 @@
 impl Default for Valve {
     fn default() -> Self {
         Self {
-            room: Room::new(8),
+            gate: ConcurrencyGate::new(8),
             state: Arc::default(),
         }
     }
@@ -53,7 +53,7 @@
         if state.closed {
             return None;
         }
-        let pass = self.room.enter(upstream, customer, now)?;
+        let pass = self.gate.enter(upstream, customer, now)?;
         let (given, withdrawn) = watch::channel(false);
         state.given.push(given);
         Some(Pass { withdrawn, ..pass })
