--- a/crates/tinbank-batch/src/control/peers.rs
+++ b/crates/tinbank-batch/src/control/peers.rs
@@ -6,7 +6,7 @@
 use crate::owner::answer::Credits;
 
 impl Credits for Admission {
-    fn told(&self, from: Writer, message: credit::Message) {
+    fn on_message(&self, from: Writer, message: credit::Message) {
         Self::told(self, from, message);
     }
 }
--- a/crates/tinbank-batch/src/owner/answer.rs
+++ b/crates/tinbank-batch/src/owner/answer.rs
@@ -1,4 +1,4 @@
-//! Answers requests, whether a peer or our own HTTP interface asks.
+//! Answers requests from peers and from this process's HTTP interface.
 
 use std::sync::Arc;
 
@@ -22,15 +22,15 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::{
-    Ask, Owner,
+    OwnerRequest, Owner,
     results::{self, Wanted},
     shard::failed,
 };
 
-/// Frames of an answer that are read ahead of whoever asked.
+/// Maximum frames of an answer buffered ahead of the receiver.
 const FRAMES_AHEAD: usize = 2;
 
-/// Answers by the control task's state.
+/// Answers requests from the control task's state and the log.
 #[derive(Clone, Debug)]
 pub struct Answerer {
     owner: Owner,
@@ -39,14 +39,14 @@
     credits: Option<Arc<dyn Credits>>,
 }
 
-/// Takes in datagrams about batch credits.
+/// Receives datagrams about batch credits.
 pub trait Credits: Send + Sync + std::fmt::Debug {
-    /// Takes in one.
-    fn told(&self, from: Writer, message: credit::Message);
+    /// Handles one message.
+    fn on_message(&self, from: Writer, message: credit::Message);
 }
 
 impl Answerer {
-    /// Answers for an owner. The configuration comes from `follower`; datagrams about credits go to `credits`.
+    /// Creates an answerer for an owner. It serves the configuration from `follower`, and passes credit datagrams to `credits`.
     pub fn new(
         owner: Owner,
         log: Arc<dyn Log>,
@@ -70,7 +70,7 @@
                 from,
                 custom_id,
             } => {
-                // A follower that lags would show items as pending, or none at all, of a job that has ended.
+                // A lagging follower would report items of an ended job as pending or missing.
                 let past = match from {
                     id::Chunk::MAX => Ok(0),
                     _ => self
@@ -88,7 +88,7 @@
                 };
                 let (reply, plan) = oneshot::channel();
                 self.owner
-                    .ask(Ask::Results {
+                    .ask(OwnerRequest::Results {
                         job,
                         shard,
                         from,
@@ -114,7 +114,7 @@
             },
             request => {
                 let (reply, answer) = oneshot::channel();
-                self.owner.ask(Ask::Request { request, reply }).await;
+                self.owner.ask(OwnerRequest::Request { request, reply }).await;
                 one(answer.await.unwrap_or(Response::NotOwner(None)))
             }
         }
@@ -129,7 +129,7 @@
 
     fn on_credit(&self, from: Writer, message: credit::Message) {
         if let Some(credits) = &self.credits {
-            credits.told(from, message);
+            credits.on_message(from, message);
         }
     }
 }
--- a/crates/tinbank-batch/src/owner/appends.rs
+++ b/crates/tinbank-batch/src/owner/appends.rs
@@ -1,4 +1,4 @@
-//! What we append to the log, and what becomes of it.
+//! Appends to the log, and handling of their results.
 
 use std::{
     collections::BTreeMap,
@@ -16,20 +16,20 @@
 
 use super::{
     control::Control,
-    input::{Input, Wait, What},
+    input::{Input, PendingReply, AppendPurpose},
     shard::{answer, failed},
 };
 
-/// How long after its deadline an open claim is ended by the owner of its shard.
+/// How long after its deadline the owner of the shard settles an open claim.
 const CLAIM_GRACE: Duration = Duration::from_secs(10);
 
 impl Control {
     pub(super) fn append_lease(&mut self, shard: id::Shard, record: lease::Lease) {
         let records = vec![work::Record::Lease(record)];
-        self.append_with(shard, shard, records, Priority::Reserved, What::Lease);
+        self.append_with(shard, shard, records, Priority::Reserved, AppendPurpose::Lease);
     }
 
-    /// Appends what the owner of the shard owes it and others.
+    /// Appends the due records that the owner of the shard has to write to it and to other shards.
     pub(super) fn do_duties(&mut self, shard: id::Shard, now: Instant) {
         let me = self.deps.me;
         let Some(followed) = self.shards.get_mut(&shard) else {
@@ -43,28 +43,28 @@
         }
         for (to, duties) in by_target {
             let records = duties.iter().map(|duty| duty.record.clone()).collect();
-            self.append(shard, to, records, What::Duties(duties));
+            self.append(shard, to, records, AppendPurpose::Duties(duties));
         }
         if !overdue.is_empty() {
-            self.append(shard, shard, overdue, What::Repeated);
+            self.append(shard, shard, overdue, AppendPurpose::Repeated);
         }
     }
 
-    /// Appends completions and dispatches that have gathered.
+    /// Appends buffered completions and dispatches.
     pub(super) fn flush(&mut self, shard: id::Shard, now: Instant) {
         let Some(followed) = self.shards.get_mut(&shard) else {
             return;
         };
-        let more = followed.running && followed.hand.running() > 0;
-        let completed = followed.outbox.take(more, now);
-        let dispatches = followed.dispatches.take();
+        let more = followed.running && followed.active_items.running() > 0;
+        let completed = followed.outbox.next_batch(more, now);
+        let dispatches = followed.dispatches.next_batch();
         if let Some(batch) = completed {
             let records = batch.iter().cloned().map(work::Record::Completed).collect();
-            self.append(shard, shard, records, What::Outbox(batch));
+            self.append(shard, shard, records, AppendPurpose::Outbox(batch));
         }
         if let Some((dispatches, keys)) = dispatches {
             let records = dispatches.into_iter().map(work::Record::Dispatch).collect();
-            self.append(shard, shard, records, What::Dispatch(keys));
+            self.append(shard, shard, records, AppendPurpose::Dispatch(keys));
         }
     }
 
@@ -74,9 +74,9 @@
         shard: id::Shard,
         to: id::Shard,
         records: Vec<work::Record>,
-        what: What,
+        purpose: AppendPurpose,
     ) {
-        self.append_with(shard, to, records, Priority::Normal, what);
+        self.append_with(shard, to, records, Priority::Normal, purpose);
     }
 
     fn append_with(
@@ -85,10 +85,10 @@
         to: id::Shard,
         records: Vec<work::Record>,
         priority: Priority,
-        what: What,
+        purpose: AppendPurpose,
     ) {
         let writer = self.deps.writer.clone();
-        let done = self.done.clone();
+        let done = self.task_done.clone();
         let deadline = Instant::now() + self.deps.append_timeout;
         tokio::spawn(async move {
             let stream = Stream::Work(to);
@@ -96,23 +96,23 @@
             // The control task ends only with the process.
             let _ = done.send(Input::Appended {
                 shard,
-                what,
+                purpose,
                 result,
             });
         });
     }
 
-    pub(super) fn appended(
+    pub(super) fn on_appended(
         &mut self,
         shard: id::Shard,
-        what: What,
+        purpose: AppendPurpose,
         result: Result<id::Offset, writer::Error>,
     ) {
         self.dirty.insert(shard);
         let Some(followed) = self.shards.get_mut(&shard) else {
-            if let What::Wait(wait) = what {
+            if let AppendPurpose::PendingReply(pending) = purpose {
                 answer(
-                    wait.reply,
+                    pending.reply,
                     tinbank_base::frame::request::Response::NotOwner(None),
                 );
             }
@@ -122,39 +122,39 @@
         if result.is_ok() {
             followed.contender.observe_append(now);
         }
-        match what {
-            // Each is given again by its state machine until its effect is read.
-            What::Lease | What::Repeated => {}
-            What::Duties(duties) => {
+        match purpose {
+            // Their state machines repeat these until the effect is read back.
+            AppendPurpose::Lease | AppendPurpose::Repeated => {}
+            AppendPurpose::Duties(duties) => {
                 if result.is_ok() {
                     for duty in &duties {
                         followed.duties.acknowledged(&followed.fold, duty);
                     }
                 }
             }
-            What::Outbox(batch) => {
+            AppendPurpose::Outbox(batch) => {
                 let failed = if result.is_ok() { Vec::new() } else { batch };
-                followed.outbox.done(failed, now);
+                followed.outbox.on_appended(failed, now);
             }
-            What::Dispatch(keys) => {
+            AppendPurpose::Dispatch(keys) => {
                 let may_stand = result.as_ref().is_err_and(writer::Error::may_stand);
-                followed.dispatches.done(&keys, result.is_ok(), may_stand);
+                followed.dispatches.on_appended(&keys, result.is_ok(), may_stand);
             }
-            What::Wait(wait) => self.wait_appended(shard, *wait, result),
+            AppendPurpose::PendingReply(pending) => self.reply_when_read_back(shard, *pending, result),
         }
     }
 
-    fn wait_appended(
+    fn reply_when_read_back(
         &mut self,
         shard: id::Shard,
-        wait: Wait,
+        pending: PendingReply,
         result: Result<id::Offset, writer::Error>,
     ) {
         let Some(followed) = self.shards.get_mut(&shard) else {
             return;
         };
         match result {
-            Ok(offset) => followed.waits.push((offset + 1, wait)),
+            Ok(offset) => followed.pending_replies.push((offset + 1, pending)),
             Err(error) => {
                 let ran = if error.may_stand() {
                     Ran::Unknown
@@ -162,7 +162,7 @@
                     Ran::No
                 };
                 answer(
-                    wait.reply,
+                    pending.reply,
                     failed(Code::LogUnavailable, ran, error.to_string()),
                 );
             }
--- a/crates/tinbank-batch/src/owner/control.rs
+++ b/crates/tinbank-batch/src/owner/control.rs
@@ -1,4 +1,4 @@
-//! The control task: takes messages in, drives the followed shards, and starts what is slow.
+//! The control task: handles messages, drives the followed shards, and spawns slow operations.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -24,31 +24,31 @@
 };
 
 use super::{
-    input::{Ask, Input},
-    shard::Followed,
+    input::{OwnerRequest, Input},
+    shard::FollowedShard,
 };
 use crate::runner::{
     pool::Command,
     task::{Report, RunMode},
 };
 
-/// How often leases, duties and members are looked at when nothing else happens.
+/// Interval at which leases, duties and members are checked when no message arrives.
 const TICK: Duration = Duration::from_millis(100);
-/// Messages taken in before the shards are driven again.
-const BATCH: usize = 256;
-/// Messages of readers that wait; readers then stop reading.
-const WAITING: usize = 256;
+/// Maximum messages handled before the shards are driven again.
+const MAX_BATCH: usize = 256;
+/// Capacity of the channels from readers and requesters, which block when a channel is full.
+const CHANNEL_CAPACITY: usize = 256;
 
-/// What the owner works with.
+/// Dependencies and settings of the owner.
 #[derive(Debug)]
 pub struct Dependencies {
-    /// Who we are.
+    /// This process.
     pub me: Writer,
-    /// How many work shards the deployment has.
+    /// Number of work shards in the deployment.
     pub shards: id::Shard,
-    /// How leases are timed.
+    /// Timing of leases.
     pub terms: Terms,
-    /// How many members in rank follow a shard.
+    /// Number of members, in rank order, that follow a shard.
     pub followers: u32,
     /// How long the log keeps records.
     pub retention: Duration,
@@ -56,62 +56,62 @@
     pub log: Arc<dyn Log>,
     /// The log, for appending.
     pub writer: writer::Writer,
-    /// Time that an append has; what it was for is tried again after.
+    /// Timeout of an append; afterwards its purpose is retried.
     pub append_timeout: Duration,
-    /// Who is there.
+    /// The cluster's members.
     pub directory: Arc<dyn Directory>,
     /// The configuration in force.
     pub configuration: snapshot::Shared,
-    /// Runs items.
+    /// Commands to the runner's pool.
     pub pool: mpsc::UnboundedSender<Command>,
-    /// The time line.
+    /// Timeline of events.
     pub recorder: Recorder,
-    /// Where reads and appends are driven.
+    /// Runtime for reads and appends.
     pub traffic: Handle,
 }
 
-/// Handle on the control task. The task ends when it is aborted.
+/// Handle to the control task, which runs until aborted.
 #[derive(Clone, Debug)]
 pub struct Owner {
-    asks: mpsc::Sender<Ask>,
+    requests: mpsc::Sender<OwnerRequest>,
     inputs: mpsc::Sender<Input>,
 }
 
 impl Owner {
-    /// Starts the control task on the runtime that we are in.
+    /// Starts the control task on the current runtime.
     pub fn start(
         deps: Dependencies,
         reports: mpsc::UnboundedReceiver<Report>,
     ) -> (Self, tokio::task::JoinHandle<()>) {
-        let (inputs, received) = mpsc::channel(WAITING);
-        let (asks, asked) = mpsc::channel(WAITING);
-        let (done, ended) = mpsc::unbounded_channel();
+        let (inputs, received_inputs) = mpsc::channel(CHANNEL_CAPACITY);
+        let (requests, received_requests) = mpsc::channel(CHANNEL_CAPACITY);
+        let (task_done, finished) = mpsc::unbounded_channel();
         let control = Control {
             deps,
             inputs: inputs.clone(),
-            done,
+            task_done,
             shards: BTreeMap::new(),
             dirty: BTreeSet::new(),
             members: Arc::default(),
-            followings: 0,
+            last_generation: 0,
             stopping: None,
-            upkeep_at: Instant::now(),
+            next_retention_check: Instant::now(),
         };
-        let task = tokio::spawn(control.run(received, ended, asked, reports));
-        (Self { asks, inputs }, task)
+        let task = tokio::spawn(control.run(received_inputs, finished, received_requests, reports));
+        (Self { requests, inputs }, task)
     }
 
-    /// Asks the control task. Nothing is answered once it has ended.
-    pub async fn ask(&self, ask: Ask) {
-        // The asker's own channel closes with the message, which tells it.
-        let _ = self.asks.send(ask).await;
+    /// Sends a request to the control task. There is no reply once the task has ended.
+    pub async fn ask(&self, request: OwnerRequest) {
+        // On failure, dropping the request closes its reply channel, which notifies the requester.
+        let _ = self.requests.send(request).await;
     }
 
-    /// Stops in an orderly way: finishes what was sent, gives back leases. Returns when nothing is left.
+    /// Stops gracefully: finishes sent items and releases leases. Returns when nothing is left.
     pub async fn stop(&self) {
         let (done, stopped) = oneshot::channel();
         if self.inputs.send(Input::Stop(done)).await.is_ok() {
-            // A control task that ended has nothing left either.
+            // An error means that the control task has ended, so nothing is left.
             let _ = stopped.await;
         }
     }
@@ -119,45 +119,45 @@
 
 pub(super) struct Control {
     pub(super) deps: Dependencies,
-    /// For tasks whose messages may be held up: readers.
+    /// Bounded channel for readers, which may be blocked.
     pub(super) inputs: mpsc::Sender<Input>,
-    /// For tasks that end with one message.
-    pub(super) done: mpsc::UnboundedSender<Input>,
-    pub(super) shards: BTreeMap<id::Shard, Followed>,
+    /// Unbounded channel for tasks that send one message when they finish.
+    pub(super) task_done: mpsc::UnboundedSender<Input>,
+    pub(super) shards: BTreeMap<id::Shard, FollowedShard>,
     /// Shards to be driven after this batch of messages.
     pub(super) dirty: BTreeSet<id::Shard>,
     pub(super) members: Arc<Members>,
-    pub(super) followings: u64,
+    pub(super) last_generation: u64,
     stopping: Option<oneshot::Sender<()>>,
-    /// When to look again for what retention would take.
-    pub(super) upkeep_at: Instant,
+    /// When to check again for records that will exceed the retention.
+    pub(super) next_retention_check: Instant,
 }
 
 impl Control {
     async fn run(
         mut self,
         mut inputs: mpsc::Receiver<Input>,
-        mut ended: mpsc::UnboundedReceiver<Input>,
-        mut asks: mpsc::Receiver<Ask>,
+        mut finished: mpsc::UnboundedReceiver<Input>,
+        mut requests: mpsc::Receiver<OwnerRequest>,
         mut reports: mpsc::UnboundedReceiver<Report>,
     ) {
         let mut tick = time::interval(TICK);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                Some(input) = inputs.recv() => self.take(input),
-                Some(input) = ended.recv() => self.take(input),
-                Some(ask) = asks.recv() => self.take(Input::Ask(ask)),
-                Some(report) = reports.recv() => self.take(Input::Report(report)),
+                Some(input) = inputs.recv() => self.handle(input),
+                Some(input) = finished.recv() => self.handle(input),
+                Some(request) = requests.recv() => self.handle(Input::OwnerRequest(request)),
+                Some(report) = reports.recv() => self.handle(Input::Report(report)),
                 _ = tick.tick() => self.tick(),
             }
-            for _ in 0..BATCH {
-                if let Ok(input) = ended.try_recv() {
-                    self.take(input);
+            for _ in 0..MAX_BATCH {
+                if let Ok(input) = finished.try_recv() {
+                    self.handle(input);
                 } else if let Ok(report) = reports.try_recv() {
-                    self.take(Input::Report(report));
+                    self.handle(Input::Report(report));
                 } else if let Ok(input) = inputs.try_recv() {
-                    self.take(input);
+                    self.handle(input);
                 } else {
                     break;
                 }
@@ -166,33 +166,33 @@
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle(&mut self, input: Input) {
         match input {
             Input::Read {
                 shard,
-                following,
+                generation,
                 event,
-            } => self.read(shard, following, *event),
+            } => self.on_read(shard, generation, *event),
             Input::Appended {
                 shard,
-                what,
+                purpose,
                 result,
-            } => self.appended(shard, what, result),
+            } => self.on_appended(shard, purpose, result),
             Input::Loaded {
                 shard,
                 epoch,
                 job,
                 chunk,
                 result,
-            } => self.loaded(shard, epoch, job, chunk, result),
-            Input::Kept { shard, last } => self.kept(shard, last),
+            } => self.on_loaded(shard, epoch, job, chunk, result),
+            Input::Carried { shard, last } => self.on_carried(shard, last),
             Input::Tail {
                 shard,
                 result,
-                wait,
-            } => self.tail_known(shard, result, *wait),
-            Input::Report(report) => self.reported(report),
-            Input::Ask(ask) => self.asked(ask),
+                pending,
+            } => self.on_tail(shard, result, *pending),
+            Input::Report(report) => self.on_report(report),
+            Input::OwnerRequest(request) => self.on_request(request),
             Input::Stop(done) => {
                 self.stopping = Some(done);
                 self.dirty.extend(self.shards.keys());
@@ -200,26 +200,26 @@
         }
     }
 
-    /// What happens by time alone.
+    /// Handles the passing of time.
     fn tick(&mut self) {
         self.follow();
-        self.look_for_upkeep(Instant::now());
-        self.measure();
+        self.check_retention(Instant::now());
+        self.update_metrics();
         self.dirty.extend(self.shards.keys());
     }
 
-    fn measure(&self) {
+    fn update_metrics(&self) {
         let me = self.deps.me;
         let shards = self.shards.values();
         let owned = shards
             .clone()
             .filter(|followed| followed.epoch(me).is_some());
-        let in_hand: usize = shards.map(|followed| followed.hand.in_flight()).sum();
+        let active: usize = shards.map(|followed| followed.active_items.in_flight()).sum();
         metrics::gauge!("tinbank_batch_shards_owned").set(owned.count() as f64);
-        metrics::gauge!("tinbank_batch_items_in_hand").set(in_hand as f64);
+        metrics::gauge!("tinbank_batch_items_in_hand").set(active as f64);
     }
 
-    /// Drives the shards that something happened to.
+    /// Drives the shards affected by the handled messages.
     fn drive(&mut self) {
         let now = Instant::now();
         for shard in std::mem::take(&mut self.dirty) {
@@ -235,22 +235,22 @@
         let Some(followed) = self.shards.get_mut(&shard) else {
             return;
         };
-        followed.answer_waits();
-        followed.answer_plans();
+        followed.send_replies();
+        followed.send_plans();
         followed.decide_dispatches(me);
-        followed.hand.tidy(now);
+        followed.active_items.remove_finished(now);
         let step = followed.step(stopping, now);
         let stop = match step {
             Step::Hold => Some(RunMode::Run),
             Step::Drain => Some(RunMode::Drain),
             Step::Append(lease::Lease::Release { .. }) => Some(RunMode::Drain),
-            // A renewal says nothing of whether the lease is about to be given back.
+            // A renewal does not determine whether the lease is about to be released.
             Step::Append(_) => None,
             Step::Wait => Some(RunMode::Abort),
         };
-        // Duties that come of a stale fold would renew the lease over and over.
+        // Duties derived from a stale fold would renew the lease indefinitely.
         let fresh = !followed.contender.is_stale(now);
-        let purge = stop.is_some_and(|stop| followed.set(stop));
+        let purge = stop.is_some_and(|stop| followed.set_run_mode(stop));
         if purge {
             self.purge();
         }
@@ -266,13 +266,13 @@
         self.flush(shard, now);
     }
 
-    /// Tells the runner to give back what was stopped.
+    /// Tells the runner to return stopped items.
     fn purge(&self) {
         // The runner ends only with the process.
         let _ = self.deps.pool.send(Command::Purge);
     }
 
-    /// Ends the stop once no shard holds anything of ours.
+    /// Completes a stop once this process has nothing left in any shard.
     fn end_stop(&mut self) {
         let me = self.deps.me;
         let idle = self.shards.values().all(|followed| followed.is_idle(me));
@@ -280,7 +280,7 @@
             return;
         }
         if let Some(done) = self.stopping.take() {
-            // Whoever asked may have given up waiting.
+            // The requester may have stopped waiting.
             let _ = done.send(());
         }
     }
--- a/crates/tinbank-batch/src/owner/dispatches.rs
+++ b/crates/tinbank-batch/src/owner/dispatches.rs
@@ -1,4 +1,4 @@
-//! Items that may not be repeated, on their way to be dispatched in the log before they are sent.
+//! Dispatches of non-repeatable items, which have to be in the log before the item is sent.
 
 use std::collections::BTreeMap;
 
@@ -7,39 +7,39 @@
 
 use crate::runner::task::{Key, Permit};
 
-/// Asked dispatches of one shard.
+/// Requested dispatches of one shard.
 #[derive(Debug, Default)]
 pub(super) struct Dispatches {
-    asked: BTreeMap<Key, Asked>,
-    /// Whether an append is under way.
+    pending: BTreeMap<Key, PendingDispatch>,
+    /// Whether an append is in flight.
     sending: bool,
 }
 
 #[derive(Debug)]
-struct Asked {
+struct PendingDispatch {
     reply: oneshot::Sender<Permit>,
-    /// Whether its record is on the way or may stand in the log.
+    /// Whether the record is being appended or may be in the log.
     appended: bool,
 }
 
 impl Dispatches {
-    pub(super) fn ask(&mut self, key: Key, reply: oneshot::Sender<Permit>) {
-        let asked = Asked {
+    pub(super) fn request(&mut self, key: Key, reply: oneshot::Sender<Permit>) {
+        let pending = PendingDispatch {
             reply,
             appended: false,
         };
-        self.asked.insert(key, asked);
+        self.pending.insert(key, pending);
     }
 
-    /// What to append now, if anything, and if no append is under way.
-    pub(super) fn take(&mut self) -> Option<(Vec<Dispatch>, Vec<Key>)> {
+    /// Returns the dispatches to append now, unless an append is in flight.
+    pub(super) fn next_batch(&mut self) -> Option<(Vec<Dispatch>, Vec<Key>)> {
         if self.sending {
             return None;
         }
-        let open = self.asked.iter_mut().filter(|(_, asked)| !asked.appended);
+        let open = self.pending.iter_mut().filter(|(_, pending)| !pending.appended);
         let keys: Vec<Key> = open
-            .map(|(key, asked)| {
-                asked.appended = true;
+            .map(|(key, pending)| {
+                pending.appended = true;
                 *key
             })
             .collect();
@@ -50,17 +50,17 @@
         Some((records(&keys), keys))
     }
 
-    /// The append has ended. What was provably not appended is tried later; what may stand in the log is appended
-    /// again in the same term, which is harmless, until it is read back.
-    pub(super) fn done(&mut self, keys: &[Key], appended: bool, may_stand: bool) {
+    /// Records the end of the append. Dispatches that were certainly not appended are denied until later. Those that may be
+    /// in the log are appended again in the same term until read back, which is harmless.
+    pub(super) fn on_appended(&mut self, keys: &[Key], appended: bool, may_stand: bool) {
         self.sending = false;
         for key in keys {
             if appended {
                 continue;
             }
             if may_stand {
-                if let Some(asked) = self.asked.get_mut(key) {
-                    asked.appended = false;
+                if let Some(pending) = self.pending.get_mut(key) {
+                    pending.appended = false;
                 }
             } else {
                 self.answer(*key, Permit::Later);
@@ -69,22 +69,22 @@
     }
 
     pub(super) fn answer(&mut self, key: Key, permit: Permit) {
-        if let Some(asked) = self.asked.remove(&key) {
-            // The attempt may have been stopped meanwhile.
-            let _ = asked.reply.send(permit);
+        if let Some(pending) = self.pending.remove(&key) {
+            // The attempt may have been stopped and dropped the receiver.
+            let _ = pending.reply.send(permit);
         }
     }
 
-    /// Keys that wait for a readback.
+    /// Returns the items whose dispatch has not been read back.
     pub(super) fn keys(&self) -> Vec<Key> {
-        self.asked.keys().copied().collect()
+        self.pending.keys().copied().collect()
     }
 
-    /// The lease is gone: nothing may be sent any more.
+    /// Denies all dispatches because the lease was lost.
     pub(super) fn drop_all(&mut self) {
-        for (_, asked) in std::mem::take(&mut self.asked) {
-            // The attempt may have been stopped meanwhile.
-            let _ = asked.reply.send(Permit::Never);
+        for (_, pending) in std::mem::take(&mut self.pending) {
+            // The attempt may have been stopped and dropped the receiver.
+            let _ = pending.reply.send(Permit::Never);
         }
     }
 }
--- a/crates/tinbank-batch/src/owner/follow.rs
+++ b/crates/tinbank-batch/src/owner/follow.rs
@@ -1,4 +1,4 @@
-//! Which shards we follow, and what their readers bring.
+//! Selects the shards to follow and applies events of their readers.
 
 use std::{sync::Arc, time::SystemTime};
 
@@ -12,10 +12,10 @@
 use tinbank_log::reader::{self, Event, Reader};
 use tinbank_membership::rendezvous;
 
-use super::{control::Control, input::Input, shard::Followed};
+use super::{control::Control, input::Input, shard::FollowedShard};
 
 impl Control {
-    /// Follows the shards that we rank high for, and leaves others once nothing of ours is in them.
+    /// Follows the shards for which this process ranks high enough, and stops following others once they are idle.
     pub(super) fn follow(&mut self) {
         let members = self.deps.directory.members();
         if Arc::ptr_eq(&members, &self.members) {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Our place among the members that may own the shard.
+    /// Returns the rank of this process among the members that may own the shard.
     fn rank(&self, shard: id::Shard) -> Option<u32> {
         let ready = self.members.ready(id::Role::Batch);
         let ranked = rendezvous::rank(ready, rendezvous::Key::Shard(shard));
@@ -53,9 +53,9 @@
         place.map(|place| place as u32)
     }
 
-    fn begin_at(&mut self, shard: id::Shard, from: id::Offset) -> Followed {
-        self.followings += 1;
-        let following = self.followings;
+    fn begin_at(&mut self, shard: id::Shard, from: id::Offset) -> FollowedShard {
+        self.last_generation += 1;
+        let generation = self.last_generation;
         let reader = Reader::new(
             self.deps.log.clone(),
             Stream::Work(shard),
@@ -69,7 +69,7 @@
                 let event = Box::new(reader.next().await);
                 let input = Input::Read {
                     shard,
-                    following,
+                    generation,
                     event,
                 };
                 if inputs.send(input).await.is_err() {
@@ -79,23 +79,23 @@
         });
         let (shards, me, terms) = (self.deps.shards, self.deps.me, self.deps.terms);
         let retention = self.deps.retention;
-        Followed::new(
+        FollowedShard::new(
             shard,
             shards,
             me,
             terms,
             retention,
-            following,
+            generation,
             task.abort_handle(),
         )
     }
 
-    /// Takes in what a reader brought.
-    pub(super) fn read(&mut self, shard: id::Shard, following: u64, event: Event<work::Record>) {
+    /// Handles an event of a shard's reader.
+    pub(super) fn on_read(&mut self, shard: id::Shard, generation: u64, event: Event<work::Record>) {
         let Some(followed) = self.shards.get_mut(&shard) else {
             return;
         };
-        if followed.following != following {
+        if followed.generation != generation {
             return;
         }
         self.dirty.insert(shard);
@@ -105,7 +105,7 @@
             Event::Skipped { entry, .. } => followed.fold.skip(entry.offset),
             Event::Tail { .. } => {
                 let lease = *followed.fold.lease();
-                followed.current |= followed.recovery.is_none();
+                followed.caught_up |= followed.recovery.is_none();
                 followed.readable = true;
                 followed.contender.observe_tail(&lease, true, now);
                 self.give_up_recovery(shard);
@@ -113,7 +113,7 @@
             Event::Trimmed { first } => {
                 followed.recovery = Some(Recovery::new(shard, self.deps.shards, first));
                 followed.first = first;
-                followed.current = false;
+                followed.caught_up = false;
             }
             Event::Outage { .. } => {
                 let lease = *followed.fold.lease();
@@ -134,7 +134,7 @@
                 Ok(None) => {}
                 Err(error) => {
                     metrics::counter!("tinbank_batch_checkpoints_refused_total").increment(1);
-                    log::warn!(shard, offset, error:%; "checkpoint passed over");
+                    log::warn!(shard, offset, error:%; "checkpoint skipped: it cannot be restored");
                 }
             }
             return;
@@ -143,12 +143,12 @@
         followed.upkeep.marks.note(offset, envelope.stamp, now);
         let changes = followed.fold.apply(offset, envelope);
         for change in &changes {
-            followed.changed(change, self.deps.me);
+            followed.apply_change(change, self.deps.me);
         }
         self.note_changes(shard, &changes);
     }
 
-    /// A checkpoint was found; what stands between it and here has to be read again.
+    /// Restarts reading from a checkpoint that was found.
     fn recovered(&mut self, shard: id::Shard, fold: Shard) {
         let mut begun = self.begin_at(shard, fold.next());
         begun.rank = self.rank(shard);
@@ -156,7 +156,7 @@
         self.shards.insert(shard, begun);
     }
 
-    /// The tail was reached without a checkpoint: the state starts at the first record left.
+    /// Ends a recovery that reached the tail without a checkpoint: the state starts at the first remaining record.
     fn give_up_recovery(&mut self, shard: id::Shard) {
         let Some(followed) = self.shards.get_mut(&shard) else {
             return;
@@ -164,7 +164,7 @@
         if followed.recovery.take().is_none() {
             return;
         }
-        log::error!(shard; "older records of the shard are gone and there is no checkpoint");
+        log::error!(shard; "shard log was trimmed and has no checkpoint; state restarts at the first remaining record");
         let first = followed.first;
         let mut begun = self.begin_at(shard, first);
         begun.rank = self.rank(shard);
--- a/crates/tinbank-batch/src/owner/input.rs
+++ b/crates/tinbank-batch/src/owner/input.rs
@@ -12,44 +12,44 @@
 
 use crate::runner::task::{Key, Report};
 
-/// A question to the control task. The answer may take until a record is read back.
+/// A request to the control task. The reply may take until a record is read back.
 #[derive(Debug)]
-pub enum Ask {
-    /// A request of a peer or of our own HTTP interface, other than for results.
+pub enum OwnerRequest {
+    /// A request from a peer or this process's HTTP interface, other than for results.
     Request {
-        /// What is asked.
+        /// The request.
         request: Request,
-        /// Gets the one answer.
+        /// Receives the reply.
         reply: oneshot::Sender<Response>,
     },
-    /// Where the results of some chunks stand.
+    /// Locates the results of some chunks.
     Results {
-        /// Which job.
+        /// Job of the results.
         job: id::Job,
-        /// Which shard.
+        /// Shard of the results.
         shard: id::Shard,
-        /// First chunk wanted.
+        /// First requested chunk.
         from: id::Chunk,
-        /// The fold has to have come so far.
+        /// Offset that the fold has to reach before the reply.
         past: id::Offset,
-        /// Gets the answer; `None` when the shard is not followed here.
-        reply: oneshot::Sender<Option<Plan>>,
+        /// Receives the plan. The sender is dropped if the shard is not followed by this process.
+        reply: oneshot::Sender<Option<ResultPlan>>,
     },
 }
 
-/// A question for results that waits until the fold has come so far.
+/// A request for results that waits until the fold reaches offset `past`.
 #[derive(Debug)]
-pub(super) struct PlanWait {
+pub(super) struct PendingPlan {
     pub(super) past: id::Offset,
     pub(super) job: id::Job,
     pub(super) from: id::Chunk,
-    pub(super) reply: oneshot::Sender<Option<Plan>>,
+    pub(super) reply: oneshot::Sender<Option<ResultPlan>>,
 }
 
-/// Where the results of some chunks of a job stand in a shard.
+/// Locations of the results of some chunks of a job in a shard.
 #[derive(Clone, Debug, Default)]
-pub struct Plan {
-    /// The chunks, by number.
+pub struct ResultPlan {
+    /// The chunks in ascending order.
     pub chunks: Vec<Chunk>,
     /// Counts of the job in the shard.
     pub count: Count,
@@ -57,20 +57,20 @@
 
 #[derive(Debug)]
 pub(super) enum Input {
-    /// Something was read from a followed shard.
+    /// An event of a followed shard's reader.
     Read {
         shard: id::Shard,
-        /// Which following it belongs to: a shard may be left and followed again.
-        following: u64,
+        /// Generation of the reader; events of an earlier one are ignored.
+        generation: u64,
         event: Box<reader::Event<work::Record>>,
     },
     /// An append has ended.
     Appended {
         shard: id::Shard,
-        what: What,
+        purpose: AppendPurpose,
         result: Result<id::Offset, writer::Error>,
     },
-    /// A chunk was loaded, or not.
+    /// Loading of a chunk has succeeded or failed.
     Loaded {
         shard: id::Shard,
         epoch: id::Epoch,
@@ -78,49 +78,49 @@
         chunk: id::Chunk,
         result: Result<Vec<work::Item>, String>,
     },
-    /// What retention would have taken was carried forward, or not.
-    Kept {
+    /// Carrying old records forward has succeeded or failed.
+    Carried {
         shard: id::Shard,
-        /// Offset of the last record that was appended.
+        /// Offset of the last appended record; `None` on failure.
         last: Option<id::Offset>,
     },
-    /// The tail of a shard is known, for an answer that has to be as new as that.
+    /// The tail of a shard was read, for a reply that needs the fold to reach it.
     Tail {
         shard: id::Shard,
         result: Result<id::Offset, log::Error>,
-        wait: Box<Wait>,
+        pending: Box<PendingReply>,
     },
-    /// The runner has something to say.
+    /// A report from the runner.
     Report(Report),
-    /// Someone asks.
-    Ask(Ask),
-    /// Stop in an orderly way; told when nothing is left.
+    /// A request from a peer or this process's HTTP interface.
+    OwnerRequest(OwnerRequest),
+    /// Stop gracefully; the sender is notified when nothing is left.
     Stop(oneshot::Sender<()>),
 }
 
-/// What an append was for.
+/// The purpose of an append.
 #[derive(Debug)]
-pub(super) enum What {
+pub(super) enum AppendPurpose {
     Lease,
     Duties(Vec<Duty>),
     Outbox(Vec<work::Completed>),
     Dispatch(Vec<Key>),
-    /// Someone waits for its readback.
-    Wait(Box<Wait>),
-    /// Nobody waits: it is repeated until the fold shows it.
+    /// A requester waits until the record is read back.
+    PendingReply(Box<PendingReply>),
+    /// No requester waits: the append is repeated until the fold shows its effect.
     Repeated,
 }
 
-/// An answer that waits until the fold has come so far.
+/// A reply that waits until the fold reaches an offset.
 #[derive(Debug)]
-pub(super) struct Wait {
-    pub(super) then: Then,
+pub(super) struct PendingReply {
+    pub(super) kind: ReplyKind,
     pub(super) reply: oneshot::Sender<Response>,
 }
 
-/// What is answered when the fold has come far enough.
+/// The content of a reply, read from the fold when it is sent.
 #[derive(Debug)]
-pub(super) enum Then {
+pub(super) enum ReplyKind {
     Job(id::Job),
     Committed(id::Job),
     Cancelled(id::Job),
--- a/crates/tinbank-batch/src/owner/load.rs
+++ b/crates/tinbank-batch/src/owner/load.rs
@@ -1,4 +1,4 @@
-//! Brings chunks from the log to the runner, by customers' turns and due times.
+//! Loads chunks from the log for the runner, in order of fair share and due time.
 
 use std::{
     collections::HashMap,
@@ -17,21 +17,21 @@
     task::{Flow, PartialAnswer, Key, Task},
 };
 
-/// Most chunks in hand of one customer and service.
+/// Maximum active chunks of one flow.
 const CHUNKS_PER_FLOW: usize = 4;
-/// Most items in hand.
+/// Maximum active items.
 const MAX_ITEMS: usize = 8_192;
-/// Bytes of completions that wait for the log from which on no further chunk is loaded.
+/// Size of the buffered completions, in bytes, above which no further chunk is loaded.
 const MAX_OUTBOX_BYTES: usize = 8 << 20;
-/// Time that a chunk has to be loaded.
+/// Timeout for loading a chunk.
 pub(super) const LOAD_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a chunk that could not be loaded, or had nothing to run, is left alone.
-pub(super) const REST: Duration = Duration::from_secs(1);
+/// Delay before reloading a chunk that failed to load or had nothing to run.
+pub(super) const RELOAD_DELAY: Duration = Duration::from_secs(1);
 
 /// A chunk that may be loaded next.
 struct Candidate {
-    /// Chunks of its flow that are in hand.
-    in_hand: usize,
+    /// Number of active chunks of the flow.
+    active: usize,
     due: SystemTime,
     shard: id::Shard,
     epoch: id::Epoch,
@@ -42,7 +42,7 @@
 }
 
 impl Control {
-    /// Loads chunks as long as there is room for their items.
+    /// Loads chunks until the limit of active items is reached.
     pub(super) fn load(&mut self, now: Instant) {
         let outbox: usize = self
             .shards
@@ -53,29 +53,29 @@
             return;
         }
         let configuration = self.deps.configuration.load_full();
-        let mut in_hand: usize = self
+        let mut active: usize = self
             .shards
             .values()
-            .map(|followed| followed.hand.len())
+            .map(|followed| followed.active_items.len())
             .sum();
-        while in_hand < MAX_ITEMS {
+        while active < MAX_ITEMS {
             let Some(next) = self.next_chunk(&configuration) else {
                 return;
             };
-            in_hand += 1;
+            active += 1;
             self.load_chunk(next, now);
         }
     }
 
-    /// The chunk of the customer that has the fewest in hand; of these, the one that is due first.
+    /// Returns the next chunk of the flow with the fewest active chunks; among equals, the one that is due first.
     fn next_chunk(&self, configuration: &Snapshot) -> Option<Candidate> {
-        let mut in_hand: HashMap<&Flow, usize> = HashMap::new();
+        let mut active: HashMap<&Flow, usize> = HashMap::new();
         for flow in self
             .shards
             .values()
-            .flat_map(|followed| followed.hand.flows())
+            .flat_map(|followed| followed.active_items.flows())
         {
-            *in_hand.entry(flow).or_default() += 1;
+            *active.entry(flow).or_default() += 1;
         }
         let mut best: Option<Candidate> = None;
         for (shard, followed) in &self.shards {
@@ -89,12 +89,12 @@
                         customer: customer.to_owned(),
                         service: ready.service.to_owned(),
                     };
-                    let count = in_hand.get(&flow).copied().unwrap_or_default();
-                    let held = followed.hand.holds(ready.job, ready.chunk.chunk);
+                    let count = active.get(&flow).copied().unwrap_or_default();
+                    let held = followed.active_items.contains(ready.job, ready.chunk.chunk);
                     let known = service(configuration, &flow).is_some();
                     let open = !held && known && count < CHUNKS_PER_FLOW;
                     open.then(|| Candidate {
-                        in_hand: count,
+                        active: count,
                         due: ready.due,
                         shard: *shard,
                         epoch,
@@ -109,7 +109,7 @@
                 };
                 let better = best
                     .as_ref()
-                    .is_none_or(|best| (found.in_hand, found.due) < (best.in_hand, best.due));
+                    .is_none_or(|best| (found.active, found.due) < (best.active, best.due));
                 if better {
                     best = Some(found);
                 }
@@ -129,10 +129,10 @@
             ..
         } = next;
         if let Some(followed) = self.shards.get_mut(&shard) {
-            let until = now + LOAD_TIMEOUT + REST;
-            followed.hand.begin(job, chunk, flow, until);
+            let until = now + LOAD_TIMEOUT + RELOAD_DELAY;
+            followed.active_items.begin_load(job, chunk, flow, until);
         }
-        let (log, done) = (self.deps.log.clone(), self.done.clone());
+        let (log, done) = (self.deps.log.clone(), self.task_done.clone());
         self.deps.traffic.spawn(async move {
             let result = read_chunk(&*log, shard, place).await;
             let result = result.map(|chunk| chunk.items);
@@ -147,7 +147,7 @@
         });
     }
 
-    pub(super) fn loaded(
+    pub(super) fn on_loaded(
         &mut self,
         shard: id::Shard,
         epoch: id::Epoch,
@@ -156,24 +156,24 @@
         result: Result<Vec<work::Item>, String>,
     ) {
         let me = self.deps.me;
-        let rest = Instant::now() + REST;
+        let reload_at = Instant::now() + RELOAD_DELAY;
         self.dirty.insert(shard);
         let Some(followed) = self.shards.get_mut(&shard) else {
             return;
         };
-        if followed.epoch(me) != Some(epoch) || !followed.hand.holds(job, chunk) {
+        if followed.epoch(me) != Some(epoch) || !followed.active_items.contains(job, chunk) {
             return;
         }
         if !followed.running {
-            // The lease is about to be given back: nothing more is started.
-            followed.hand.run(job, chunk, [], rest);
+            // The lease is about to be released, so no more items are started.
+            followed.active_items.on_loaded(job, chunk, [], reload_at);
             return;
         }
         let items = match result {
             Ok(items) => items,
             Err(reason) => {
                 log::warn!(shard, chunk, reason:%; "chunk not loaded");
-                followed.hand.run(job, chunk, [], rest);
+                followed.active_items.on_loaded(job, chunk, [], reload_at);
                 return;
             }
         };
@@ -182,7 +182,7 @@
             return;
         };
         let numbers = tasks.iter().map(|task| task.key.item);
-        followed.hand.run(job, chunk, numbers, rest);
+        followed.active_items.on_loaded(job, chunk, numbers, reload_at);
         if !tasks.is_empty() {
             // The runner ends only with the process.
             let _ = self.deps.pool.send(Command::Add(tasks));
@@ -202,7 +202,7 @@
         let Some(followed) = self.shards.get_mut(&shard) else {
             return Vec::new();
         };
-        let run_mode = followed.hand.run_mode(job);
+        let run_mode = followed.active_items.run_mode(job);
         let work = followed.fold.work(job);
         let release = work.and_then(|work| work.release.as_ref());
         let summary = work.and_then(|work| work.chunk(chunk));
@@ -251,7 +251,7 @@
             .collect()
     }
 
-    /// Our place among the live batch processes, and how many there are.
+    /// Returns the place of this process among the live batch processes, and their number.
     fn place(&self) -> (u32, u32) {
         let ready = self.members.ready(id::Role::Batch);
         let mut processes: Vec<id::Process> = ready.map(|member| member.writer.process).collect();
@@ -264,7 +264,7 @@
     }
 }
 
-/// A flow's customer and service, as far as both are configured.
+/// Returns a flow's customer and service, if both are configured.
 fn service<'a>(
     configuration: &'a Snapshot,
     flow: &Flow,
--- a/crates/tinbank-batch/src/owner/outbox.rs
+++ b/crates/tinbank-batch/src/owner/outbox.rs
@@ -1,4 +1,4 @@
-//! Completions on their way to the log: one append of a shard at a time, so that all that end meanwhile share the next.
+//! Buffers completions for the log. Each shard has one append in flight; completions that arrive meanwhile share the next.
 
 use std::{
     collections::BTreeMap,
@@ -10,11 +10,11 @@
     record::work::{Completed, Completion, Outcome},
 };
 
-/// About how many bytes of completions go into one append.
+/// Approximate maximum size of the completions in one append, in bytes.
 const APPEND_BYTES: usize = 256 << 10;
-/// How long a completion waits for others to share its append, while items of its shard are running.
-const COMPANY: Duration = Duration::from_millis(50);
-/// What a completion takes besides its answer, in bytes.
+/// How long a completion waits for others to share its append while items of the shard are running.
+const BATCHING_DELAY: Duration = Duration::from_millis(50);
+/// Encoded size of a completion without its answer, in bytes.
 const OVERHEAD: usize = 32;
 
 /// Completions of one shard that are not known to be appended.
@@ -22,7 +22,7 @@
 pub(super) struct Outbox {
     waiting: BTreeMap<(id::Job, id::Chunk), Vec<Completion>>,
     bytes: usize,
-    /// Since when the first of them waits.
+    /// When the oldest waiting completion was added.
     since: Option<Instant>,
     /// Whether an append is under way.
     sending: bool,
@@ -44,14 +44,15 @@
             .push(completion);
     }
 
-    /// What to append now, if anything, and if no append is under way. `more`: others may soon end and go along.
-    pub(super) fn take(&mut self, more: bool, now: Instant) -> Option<Vec<Completed>> {
+    /// Returns the completions to append now, unless an append is in flight. With `more`, further items may end soon, so a
+    /// small batch is delayed.
+    pub(super) fn next_batch(&mut self, more: bool, now: Instant) -> Option<Vec<Completed>> {
         if self.sending || self.waiting.is_empty() {
             return None;
         }
         let waited = self
             .since
-            .is_none_or(|since| now.saturating_duration_since(since) >= COMPANY);
+            .is_none_or(|since| now.saturating_duration_since(since) >= BATCHING_DELAY);
         if more && !waited && self.bytes < APPEND_BYTES {
             return None;
         }
@@ -82,8 +83,9 @@
         Some(batch)
     }
 
-    /// The append has ended; what is not known to stand in the log is appended again, since the first copy counts.
-    pub(super) fn done(&mut self, failed: Vec<Completed>, now: Instant) {
+    /// Records the end of the append. Completions in `failed` are appended again; this is safe, since the first copy in the
+    /// log takes precedence.
+    pub(super) fn on_appended(&mut self, failed: Vec<Completed>, now: Instant) {
         self.sending = false;
         for completed in failed {
             for completion in completed.completions {
@@ -98,7 +100,7 @@
         self.bytes = self.waiting.values().flatten().map(size).sum();
     }
 
-    /// Bytes that wait.
+    /// Returns the size of the waiting completions in bytes.
     pub(super) fn bytes(&self) -> usize {
         self.bytes
     }
@@ -108,7 +110,7 @@
     }
 }
 
-/// How many of the completions fit into so many bytes; at least one if nothing else goes along.
+/// Returns how many completions fit into `room` bytes, and at least one if `first`.
 fn fitting(completions: &[Completion], room: usize, first: bool) -> usize {
     let mut bytes = 0;
     let fits = completions.iter().take_while(|completion| {
--- a/crates/tinbank-batch/src/owner/outbox/tests.rs
+++ b/crates/tinbank-batch/src/owner/outbox/tests.rs
@@ -14,35 +14,35 @@
 }
 
 #[test]
-fn what_ends_during_an_append_shares_the_next() {
+fn completions_during_an_append_share_the_next() {
     let start = Instant::now();
     let mut outbox = Outbox::default();
     outbox.push(1, 0, completion(0, 10), start);
-    let first = outbox.take(false, start).unwrap();
+    let first = outbox.next_batch(false, start).unwrap();
     outbox.push(1, 0, completion(1, 10), start);
     outbox.push(2, 0, completion(2, 10), start);
 
-    assert_eq!(outbox.take(false, start), None);
-    outbox.done(Vec::new(), start);
-    let second = outbox.take(false, start).unwrap();
+    assert_eq!(outbox.next_batch(false, start), None);
+    outbox.on_appended(Vec::new(), start);
+    let second = outbox.next_batch(false, start).unwrap();
 
     assert_eq!((items(&first), items(&second)), (vec![0], vec![1, 2]));
 }
 
 #[test]
-fn what_was_not_appended_is_taken_again() {
+fn failed_appends_are_retried() {
     let start = Instant::now();
     let mut outbox = Outbox::default();
     outbox.push(1, 0, completion(0, 10), start);
-    let batch = outbox.take(false, start).unwrap();
+    let batch = outbox.next_batch(false, start).unwrap();
 
-    outbox.done(batch, start);
+    outbox.on_appended(batch, start);
 
-    assert_eq!(items(&outbox.take(false, start).unwrap()), [0]);
+    assert_eq!(items(&outbox.next_batch(false, start).unwrap()), [0]);
 }
 
 #[test]
-fn an_append_is_bounded_and_nothing_is_left_out() {
+fn appends_are_bounded_and_include_every_completion() {
     let start = Instant::now();
     let mut outbox = Outbox::default();
     for item in 0..10 {
@@ -51,9 +51,9 @@
     outbox.push(2, 0, completion(10, APPEND_BYTES * 2), start);
 
     let mut batches = Vec::new();
-    while let Some(batch) = outbox.take(false, start) {
+    while let Some(batch) = outbox.next_batch(false, start) {
         batches.push(items(&batch));
-        outbox.done(Vec::new(), start);
+        outbox.on_appended(Vec::new(), start);
     }
 
     assert!(batches.iter().all(|batch| batch.len() <= 3), "{batches:?}");
@@ -62,24 +62,24 @@
 }
 
 #[test]
-fn completions_wait_a_moment_for_others_that_may_end() {
+fn completions_wait_for_others_while_items_are_running() {
     let start = Instant::now();
     let mut outbox = Outbox::default();
     outbox.push(1, 0, completion(0, 10), start);
-    outbox.push(1, 0, completion(1, 10), start + COMPANY / 2);
+    outbox.push(1, 0, completion(1, 10), start + BATCHING_DELAY / 2);
 
-    let early = outbox.take(true, start + COMPANY / 2);
-    let due = outbox.take(true, start + COMPANY);
+    let early = outbox.next_batch(true, start + BATCHING_DELAY / 2);
+    let due = outbox.next_batch(true, start + BATCHING_DELAY);
 
     assert_eq!(early, None);
     assert_eq!(items(&due.unwrap()), [0, 1]);
 }
 
 #[test]
-fn a_full_append_waits_for_nothing() {
+fn a_full_batch_is_appended_without_delay() {
     let start = Instant::now();
     let mut outbox = Outbox::default();
     outbox.push(1, 0, completion(0, APPEND_BYTES), start);
 
-    assert_eq!(items(&outbox.take(true, start).unwrap()), [0]);
+    assert_eq!(items(&outbox.next_batch(true, start).unwrap()), [0]);
 }
--- a/crates/tinbank-batch/src/owner/read.rs
+++ b/crates/tinbank-batch/src/owner/read.rs
@@ -11,12 +11,12 @@
 
 use super::load::LOAD_TIMEOUT;
 
-/// Most times that one entry is asked for.
-const READ_TRIES: u32 = 5;
-/// Wait before an entry is asked for again; it doubles with each further time.
-const READ_PAUSE: Duration = Duration::from_millis(20);
+/// Maximum attempts to read one entry.
+const READ_ATTEMPTS: u32 = 5;
+/// Delay before the first retry; it doubles with each further one.
+const READ_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Reads the chunk that stands at a place.
+/// Reads the chunk at a place in the log.
 pub(super) async fn read_chunk(
     log: &dyn Log,
     shard: id::Shard,
@@ -29,21 +29,20 @@
         .ok_or_else(|| format!("no chunk stands at {place:?}"))
 }
 
-/// Reads one envelope. A read has no effect, so one whose answer was lost is asked again at once: many reads make one
-/// answer to a caller, and each would fail it.
+/// Reads one envelope, with retries: a reply to a caller needs many reads and fails if any of them does.
 pub(super) async fn read_envelope(
     log: &dyn Log,
     shard: id::Shard,
     offset: id::Offset,
 ) -> Result<Envelope<work::Record>, String> {
-    let mut pause = READ_PAUSE;
-    for _ in 1..READ_TRIES {
+    let mut backoff = READ_BACKOFF;
+    for _ in 1..READ_ATTEMPTS {
         match read_entry(log, shard, offset).await {
             Err(LogError::Unavailable(_) | LogError::Throttled { .. }) => {}
             read => return decode(read, offset),
         }
-        tokio::time::sleep(pause).await;
-        pause *= 2;
+        tokio::time::sleep(backoff).await;
+        backoff *= 2;
     }
     decode(read_entry(log, shard, offset).await, offset)
 }
--- a/crates/tinbank-batch/src/owner/reports.rs
+++ b/crates/tinbank-batch/src/owner/reports.rs
@@ -1,4 +1,4 @@
-//! Takes back from the runner how items ended.
+//! Handles the runner's reports about items.
 
 use std::time::Instant;
 
@@ -7,12 +7,11 @@
     record::work,
 };
 
-use super::{control::Control, load::REST};
+use super::{control::Control, load::RELOAD_DELAY};
 use crate::runner::task::{Key, Report};
 
 impl Control {
-    /// Takes in what the runner says.
-    pub(super) fn reported(&mut self, report: Report) {
+    pub(super) fn on_report(&mut self, report: Report) {
         let me = self.deps.me;
         match report {
             Report::Dispatch { key, reply } => {
@@ -20,23 +19,23 @@
                     return;
                 };
                 self.dirty.insert(key.shard);
-                // The answer comes from the fold when the shard is driven.
-                followed.dispatches.ask(key, reply);
+                // The reply is decided from the fold when the shard is driven.
+                followed.dispatches.request(key, reply);
             }
             Report::Returned { key } => {
                 if let Some(followed) = self.shards.get_mut(&key.shard)
                     && followed.epoch(me) == Some(key.epoch)
                 {
                     self.dirty.insert(key.shard);
-                    let rest = Instant::now() + REST;
-                    followed.hand.give_back(key.job, key.chunk, key.item, rest);
+                    let reload_at = Instant::now() + RELOAD_DELAY;
+                    followed.active_items.on_returned(key.job, key.chunk, key.item, reload_at);
                 }
             }
-            Report::Ended { key, completion } => self.ended(key, completion),
+            Report::Ended { key, completion } => self.on_item_ended(key, completion),
         }
     }
 
-    fn ended(&mut self, key: Key, completion: work::Completion) {
+    fn on_item_ended(&mut self, key: Key, completion: work::Completion) {
         let Some(followed) = self.shards.get_mut(&key.shard) else {
             return;
         };
@@ -44,11 +43,11 @@
         let work = followed.fold.work(key.job).filter(|work| !work.cancelled);
         let chunk = work.and_then(|work| work.chunk(key.chunk));
         let open = chunk.is_some_and(|chunk| !chunk.ended(key.item));
-        let in_hand = followed.hand.end(key.job, key.chunk, key.item);
+        let active = followed.active_items.on_ended(key.job, key.chunk, key.item);
         if !open {
-            // Another owner's completion counts, or a cancel.
-            if in_hand {
-                followed.hand.read_back(key.job, key.chunk, &[key.item]);
+            // The item already has another owner's completion, or the job was cancelled.
+            if active {
+                followed.active_items.on_read_back(key.job, key.chunk, &[key.item]);
             }
             return;
         }
--- a/crates/tinbank-batch/src/owner/asks.rs
+++ b/crates/tinbank-batch/src/owner/requests.rs
@@ -1,4 +1,4 @@
-//! Questions of peers and of our own HTTP interface.
+//! Requests from peers and from this process's HTTP interface.
 
 use tinbank_base::{
     frame::request::{Claimed, Request, Response},
@@ -12,15 +12,15 @@
 
 use super::{
     control::Control,
-    input::{Ask, Input, PlanWait, Then, Wait, What},
+    input::{OwnerRequest, Input, PendingPlan, ReplyKind, PendingReply, AppendPurpose},
     shard::{answer, failed},
 };
 
 impl Control {
-    pub(super) fn asked(&mut self, ask: Ask) {
-        match ask {
-            Ask::Request { request, reply } => self.request(request, reply),
-            Ask::Results {
+    pub(super) fn on_request(&mut self, owner_request: OwnerRequest) {
+        match owner_request {
+            OwnerRequest::Request { request, reply } => self.request(request, reply),
+            OwnerRequest::Results {
                 job,
                 shard,
                 from,
@@ -28,7 +28,7 @@
                 reply,
             } => {
                 self.dirty.insert(shard);
-                let wait = PlanWait {
+                let pending = PendingPlan {
                     past,
                     job,
                     from,
@@ -37,11 +37,11 @@
                 match self
                     .shards
                     .get_mut(&shard)
-                    .filter(|followed| followed.answers())
+                    .filter(|followed| followed.can_answer())
                 {
-                    Some(followed) => followed.plans.push(wait),
-                    // Dropping it tells the asker that the shard is not followed here.
-                    None => drop(wait),
+                    Some(followed) => followed.pending_plans.push(pending),
+                    // Dropping the sender signals that the shard is not followed here.
+                    None => drop(pending),
                 }
             }
         }
@@ -55,8 +55,8 @@
                 self.job(shard, job, reply);
             }
             Request::Committed { job, shard, offset } => {
-                let then = Then::Committed(job);
-                self.wait(shard, offset + 1, Wait { then, reply });
+                let kind = ReplyKind::Committed(job);
+                self.reply_at(shard, offset + 1, PendingReply { kind, reply });
             }
             Request::Cancel { job } => {
                 let shard = placement::shard_of_job(job, shards);
@@ -69,8 +69,8 @@
             Request::Settle(settled) => {
                 let shard = placement::shard_of_claim(settled.key, shards);
                 let record = work::Record::Settled(settled.clone());
-                let then = Then::Settled(settled);
-                self.append_for(shard, record, Wait { then, reply });
+                let kind = ReplyKind::Settled(settled);
+                self.append_for(shard, record, PendingReply { kind, reply });
             }
             Request::Pending { customer } => {
                 answer(reply, Response::Pending(self.pending(&customer)));
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Released items of a customer that have not ended, in the shards that we own.
+    /// Returns the customer's released items that have not ended, in the shards owned by this process.
     fn pending(&self, customer: &str) -> u64 {
         let me = self.deps.me;
         let owned = self.shards.values();
@@ -101,23 +101,23 @@
         let Some(followed) = self
             .shards
             .get(&shard)
-            .filter(|followed| followed.answers())
+            .filter(|followed| followed.can_answer())
         else {
             return answer(reply, Response::NotOwner(None));
         };
-        let then = Then::Job(job);
+        let kind = ReplyKind::Job(job);
         if followed.fold.job(job).is_some() {
-            return answer(reply, followed.respond(&then));
+            return answer(reply, followed.reply(&kind));
         }
-        // "There is none" is only true at the tail as it is now.
-        self.ask_tail(shard, Wait { then, reply });
+        // The job is known to be absent only once the fold has reached the current tail.
+        self.await_tail(shard, PendingReply { kind, reply });
     }
 
     fn cancel(&mut self, shard: id::Shard, job: id::Job, reply: oneshot::Sender<Response>) {
         let Some(followed) = self
             .shards
             .get(&shard)
-            .filter(|followed| followed.answers())
+            .filter(|followed| followed.can_answer())
         else {
             return answer(reply, Response::NotOwner(None));
         };
@@ -127,8 +127,8 @@
         {
             return answer(reply, Response::Cancelled(known.cancelled));
         }
-        let then = Then::Cancelled(job);
-        self.append_for(shard, work::Record::Cancel { job }, Wait { then, reply });
+        let kind = ReplyKind::Cancelled(job);
+        self.append_for(shard, work::Record::Cancel { job }, PendingReply { kind, reply });
     }
 
     fn claim(
@@ -140,41 +140,41 @@
         let Some(followed) = self
             .shards
             .get(&shard)
-            .filter(|followed| followed.answers())
+            .filter(|followed| followed.can_answer())
         else {
             return answer(reply, Response::NotOwner(None));
         };
         let known = followed.fold.ask(&claim);
-        let then = Then::Claimed(claim.clone());
+        let kind = ReplyKind::Claimed(claim.clone());
         match known {
-            // "It still runs" is only true at the tail as it is now: its end may stand behind what was read here.
-            Some(Claimed::Running) => return self.ask_tail(shard, Wait { then, reply }),
+            // The settlement may be in the log beyond what was read, so "running" is valid only at the current tail.
+            Some(Claimed::Running) => return self.await_tail(shard, PendingReply { kind, reply }),
             Some(claimed) => return answer(reply, Response::Claimed(claimed)),
             None => {}
         }
         let record = work::Record::Claim(claim);
-        self.append_for(shard, record, Wait { then, reply });
+        self.append_for(shard, record, PendingReply { kind, reply });
     }
 
-    /// Appends a record and answers once it is read back.
-    fn append_for(&mut self, shard: id::Shard, record: work::Record, wait: Wait) {
+    /// Appends a record and replies once it is read back.
+    fn append_for(&mut self, shard: id::Shard, record: work::Record, pending: PendingReply) {
         if !self.shards.contains_key(&shard) {
-            return answer(wait.reply, Response::NotOwner(None));
+            return answer(pending.reply, Response::NotOwner(None));
         }
-        self.append(shard, shard, vec![record], What::Wait(Box::new(wait)));
+        self.append(shard, shard, vec![record], AppendPurpose::PendingReply(Box::new(pending)));
     }
 
-    fn wait(&mut self, shard: id::Shard, past: id::Offset, wait: Wait) {
+    fn reply_at(&mut self, shard: id::Shard, past: id::Offset, pending: PendingReply) {
         self.dirty.insert(shard);
         match self.shards.get_mut(&shard) {
-            Some(followed) => followed.waits.push((past, wait)),
-            None => answer(wait.reply, Response::NotOwner(None)),
+            Some(followed) => followed.pending_replies.push((past, pending)),
+            None => answer(pending.reply, Response::NotOwner(None)),
         }
     }
 
-    fn ask_tail(&self, shard: id::Shard, wait: Wait) {
-        let (log, done) = (self.deps.log.clone(), self.done.clone());
-        let wait = Box::new(wait);
+    fn await_tail(&self, shard: id::Shard, pending: PendingReply) {
+        let (log, done) = (self.deps.log.clone(), self.task_done.clone());
+        let pending = Box::new(pending);
         self.deps.traffic.spawn(async move {
             let bounds = log.bounds(Stream::Work(shard)).await;
             let result = bounds.map(|bounds| bounds.tail);
@@ -182,22 +182,22 @@
             let _ = done.send(Input::Tail {
                 shard,
                 result,
-                wait,
+                pending,
             });
         });
     }
 
-    pub(super) fn tail_known(
+    pub(super) fn on_tail(
         &mut self,
         shard: id::Shard,
         result: Result<id::Offset, log::Error>,
-        wait: Wait,
+        pending: PendingReply,
     ) {
         match result {
-            Ok(tail) => self.wait(shard, tail, wait),
+            Ok(tail) => self.reply_at(shard, tail, pending),
             Err(error) => {
                 let response = failed(Code::LogUnavailable, Ran::No, error.to_string());
-                answer(wait.reply, response);
+                answer(pending.reply, response);
             }
         }
     }
--- a/crates/tinbank-batch/src/owner/results.rs
+++ b/crates/tinbank-batch/src/owner/results.rs
@@ -1,4 +1,4 @@
-//! Reads results from the log, chunk by chunk, for whoever asked.
+//! Reads results from the log, chunk by chunk, and sends them to the requester.
 
 use std::sync::Arc;
 
@@ -12,27 +12,27 @@
 use tokio::sync::mpsc;
 
 use super::{
-    input::Plan,
+    input::ResultPlan,
     read::{read_chunk, read_envelope},
     shard::failed,
 };
 
-/// About how many bytes of results one frame holds.
+/// Approximate maximum size of the results in one frame, in bytes.
 const FRAME_BYTES: usize = 1 << 20;
 
-/// Which results are wanted.
+/// Selects results.
 #[derive(Clone, Debug)]
 pub(super) struct Wanted {
     pub(super) shard: id::Shard,
-    /// Only the item of this name.
+    /// Only the item with this `custom_id`.
     pub(super) custom_id: Option<String>,
 }
 
-/// Sends the results of a plan's chunks; each chunk ends with an empty frame, and the answer with the counts.
+/// Sends the results of a plan's chunks. Each chunk ends with an empty frame, and the answer with the counts.
 pub(super) async fn send(
     log: Arc<dyn Log>,
     wanted: Wanted,
-    plan: Plan,
+    plan: ResultPlan,
     frames: mpsc::Sender<Response>,
 ) {
     for chunk in &plan.chunks {
@@ -40,7 +40,7 @@
             Ok(outcomes) => outcomes,
             Err(reason) => {
                 let response = failed(Code::LogUnavailable, Ran::No, reason);
-                // Whoever asked may have gone away.
+                // The requester may have disconnected.
                 let _ = frames.send(response).await;
                 return;
             }
@@ -54,7 +54,7 @@
             return;
         }
     }
-    // Whoever asked may have gone away.
+    // The requester may have disconnected.
     let _ = frames.send(Response::Counted(plan.count)).await;
 }
 
--- a/crates/tinbank-batch/src/owner/shard.rs
+++ b/crates/tinbank-batch/src/owner/shard.rs
@@ -1,4 +1,4 @@
-//! One followed shard: its fold, our part in its lease, and what we have in hand of it.
+//! State of one followed shard: its fold, this process's role in its lease, and its active items.
 
 use std::time::{Duration, Instant, SystemTime};
 
@@ -19,95 +19,95 @@
 
 use super::{
     dispatches::Dispatches,
-    hand::Hand,
-    input::{Plan, PlanWait, Then, Wait},
+    active_items::ActiveItems,
+    input::{ResultPlan, PendingPlan, ReplyKind, PendingReply},
     outbox::Outbox,
     upkeep::Upkeep,
 };
 use crate::runner::task::{Key, Permit, RunMode};
 
-/// How long a duty's append may stay without effect before it is appended again.
+/// Delay before a duty whose append had no effect yet is appended again.
 const DUTY_RETRY: Duration = Duration::from_secs(2);
 
-/// Most chunks whose results one answer holds, so that it stays small.
-const CHUNKS_AT_ONCE: usize = 4;
+/// Maximum chunks in one reply with results, to bound its size.
+const MAX_CHUNKS: usize = 4;
 
 /// A followed shard.
 #[derive(Debug)]
-pub(super) struct Followed {
+pub(super) struct FollowedShard {
     pub(super) fold: Shard,
     pub(super) contender: Contender,
     pub(super) duties: Duties,
-    pub(super) hand: Hand,
+    pub(super) active_items: ActiveItems,
     pub(super) outbox: Outbox,
     pub(super) dispatches: Dispatches,
-    /// Our place in its rank.
+    /// Rank of this process for the shard.
     pub(super) rank: Option<u32>,
-    /// Which following it is.
-    pub(super) following: u64,
-    /// Whether the fold has ever been at the tail: before, it may miss what long stands in the log.
-    pub(super) current: bool,
-    /// Whether the log takes our appends while our reads have long not been at the tail.
-    pub(super) deaf: bool,
-    /// Whether the log answers reads of the shard.
+    /// Generation of the reader, to ignore events of an earlier one.
+    pub(super) generation: u64,
+    /// Whether the fold has reached the tail at least once; before, it may miss old records.
+    pub(super) caught_up: bool,
+    /// Whether appends succeed while reads have not reached the tail for long.
+    pub(super) reads_stalled: bool,
+    /// Whether reads of the shard succeed.
     pub(super) readable: bool,
-    /// Whether new items may be started: we hold the lease and are not about to give it back.
+    /// Whether new items may be started: this process holds the lease and is not about to release it.
     pub(super) running: bool,
-    /// Seeks a checkpoint, if the stream's first records are gone.
+    /// Search for a checkpoint, if the stream was trimmed.
     pub(super) recovery: Option<Recovery>,
-    /// Offset of the first record that was left when the stream was found trimmed.
+    /// Offset of the first remaining record when the stream was found to be trimmed.
     pub(super) first: id::Offset,
-    pub(super) waits: Vec<(id::Offset, Wait)>,
-    pub(super) plans: Vec<PlanWait>,
+    pub(super) pending_replies: Vec<(id::Offset, PendingReply)>,
+    pub(super) pending_plans: Vec<PendingPlan>,
     pub(super) upkeep: Upkeep,
     reader: AbortHandle,
 }
 
-impl Drop for Followed {
+impl Drop for FollowedShard {
     fn drop(&mut self) {
         self.reader.abort();
     }
 }
 
-impl Followed {
+impl FollowedShard {
     pub(super) fn new(
         shard: id::Shard,
         shards: id::Shard,
         me: Writer,
         terms: Terms,
         retention: Duration,
-        following: u64,
+        generation: u64,
         reader: AbortHandle,
     ) -> Self {
         Self {
             fold: Shard::new(shard, shards),
             contender: Contender::new(me, terms),
             duties: Duties::new(DUTY_RETRY),
-            hand: Hand::default(),
+            active_items: ActiveItems::default(),
             outbox: Outbox::default(),
             dispatches: Dispatches::default(),
             rank: None,
-            following,
-            current: false,
-            deaf: false,
+            generation,
+            caught_up: false,
+            reads_stalled: false,
             readable: true,
             running: false,
             recovery: None,
             first: 0,
-            waits: Vec::new(),
-            plans: Vec::new(),
+            pending_replies: Vec::new(),
+            pending_plans: Vec::new(),
             upkeep: Upkeep::new(retention),
             reader,
         }
     }
 
-    /// What to do about the lease now.
+    /// Returns the next step for the lease.
     pub(super) fn step(&mut self, stopping: bool, now: Instant) -> Step {
-        self.deaf = self.contender.is_deaf(now);
-        // What a deaf holder has appended will not be read back before it has let go.
-        let items = match self.deaf {
-            true => self.hand.running(),
-            false => self.hand.in_flight(),
+        self.reads_stalled = self.contender.is_deaf(now);
+        // While reads are stalled, appended completions are not read back before the lease is released.
+        let items = match self.reads_stalled {
+            true => self.active_items.running(),
+            false => self.active_items.in_flight(),
         };
         let in_flight = items + usize::from(!self.outbox.is_empty());
         let want = Want {
@@ -120,45 +120,45 @@
         self.contender.step(&lease, want, now)
     }
 
-    /// Whether others' questions can be answered by the fold.
-    pub(super) fn answers(&self) -> bool {
-        self.current && !self.deaf
+    /// Returns whether the fold is current enough to answer requests.
+    pub(super) fn can_answer(&self) -> bool {
+        self.caught_up && !self.reads_stalled
     }
 
-    /// Our term, if we hold the lease.
+    /// Returns the current term, if this process holds the lease.
     pub(super) fn epoch(&self, me: Writer) -> Option<id::Epoch> {
         self.fold.lease().term(me)
     }
 
-    /// Whether it can be left: nothing of ours is in it.
+    /// Returns whether this process has nothing left in the shard and can stop following it.
     pub(super) fn is_idle(&self, me: Writer) -> bool {
         self.epoch(me).is_none()
-            && self.hand.in_flight() == 0
+            && self.active_items.in_flight() == 0
             && self.outbox.is_empty()
-            && self.waits.is_empty()
+            && self.pending_replies.is_empty()
     }
 
-    /// Takes in what a record changed.
-    pub(super) fn changed(&mut self, change: &Change, me: Writer) {
+    /// Applies a change of the fold to the active items.
+    pub(super) fn apply_change(&mut self, change: &Change, me: Writer) {
         match change {
             Change::Lease(lease::Change::Taken(holder)) if holder.writer != me => self.drop_all(),
             Change::Cancelled(job) => {
-                self.hand.drop_job(*job);
+                self.active_items.drop_job(*job);
                 self.outbox.drop_job(*job);
             }
-            Change::Completed { job, chunk, items } => self.hand.read_back(*job, *chunk, items),
+            Change::Completed { job, chunk, items } => self.active_items.on_read_back(*job, *chunk, items),
             _ => {}
         }
     }
 
-    /// Lets go of all items, for another owner runs them now.
+    /// Drops all items, because another owner runs them now.
     fn drop_all(&mut self) {
         self.running = false;
-        self.hand.drop_all();
+        self.active_items.drop_all();
         self.dispatches.drop_all();
     }
 
-    /// Says whether an item that may not be repeated may be sent; `None`: not before its dispatch is read back.
+    /// Returns whether a non-repeatable item may be sent; `None` until its dispatch is read back.
     pub(super) fn permit(&self, key: Key, me: Writer) -> Option<Permit> {
         if self.epoch(me) != Some(key.epoch) {
             return Some(Permit::Never);
@@ -179,7 +179,7 @@
         self.fold.sending(key.job, item, key.epoch)
     }
 
-    /// Answers asked dispatches that the fold has decided.
+    /// Replies to the dispatch requests that the fold has decided.
     pub(super) fn decide_dispatches(&mut self, me: Writer) {
         for key in self.dispatches.keys() {
             if let Some(permit) = self.permit(key, me) {
@@ -188,85 +188,85 @@
         }
     }
 
-    /// Answers those that wait for as much as has been folded.
-    pub(super) fn answer_waits(&mut self) {
+    /// Sends the pending replies whose offset the fold has reached.
+    pub(super) fn send_replies(&mut self) {
         let next = self.fold.next();
-        let waits = std::mem::take(&mut self.waits);
-        for (past, wait) in waits {
-            if wait.reply.is_closed() {
+        let pending_replies = std::mem::take(&mut self.pending_replies);
+        for (past, pending) in pending_replies {
+            if pending.reply.is_closed() {
                 continue;
             }
             if past > next {
-                self.waits.push((past, wait));
+                self.pending_replies.push((past, pending));
                 continue;
             }
-            let response = self.respond(&wait.then);
-            answer(wait.reply, response);
+            let response = self.reply(&pending.kind);
+            answer(pending.reply, response);
         }
     }
 
-    /// Answers questions for results for which enough has been folded.
-    pub(super) fn answer_plans(&mut self) {
+    /// Sends the pending result plans whose offset the fold has reached.
+    pub(super) fn send_plans(&mut self) {
         let next = self.fold.next();
-        for wait in std::mem::take(&mut self.plans) {
-            if wait.reply.is_closed() {
+        for pending in std::mem::take(&mut self.pending_plans) {
+            if pending.reply.is_closed() {
                 continue;
             }
-            if wait.past > next {
-                self.plans.push(wait);
+            if pending.past > next {
+                self.pending_plans.push(pending);
                 continue;
             }
-            let plan = self.plan(wait.job, wait.from);
-            // Whoever asked may have gone away.
-            let _ = wait.reply.send(Some(plan));
+            let plan = self.plan(pending.job, pending.from);
+            // The requester may have disconnected.
+            let _ = pending.reply.send(Some(plan));
         }
     }
 
-    fn plan(&self, job: id::Job, from: id::Chunk) -> Plan {
+    fn plan(&self, job: id::Job, from: id::Chunk) -> ResultPlan {
         let Some(work) = self.fold.work(job) else {
-            return Plan::default();
+            return ResultPlan::default();
         };
         let wanted = work.chunks().iter().filter(|chunk| chunk.chunk >= from);
-        Plan {
-            chunks: wanted.take(CHUNKS_AT_ONCE).cloned().collect(),
+        ResultPlan {
+            chunks: wanted.take(MAX_CHUNKS).cloned().collect(),
             count: work.count(),
         }
     }
 
-    /// The answer that the fold gives now.
-    pub(super) fn respond(&self, then: &Then) -> Response {
-        match then {
-            Then::Job(job) => Response::Job(self.fold.status(*job)),
-            Then::Committed(job) => {
+    /// Builds a reply from the current fold.
+    pub(super) fn reply(&self, kind: &ReplyKind) -> Response {
+        match kind {
+            ReplyKind::Job(job) => Response::Job(self.fold.status(*job)),
+            ReplyKind::Committed(job) => {
                 let head = self.fold.job(*job).map(|job| job.head.clone());
                 Response::Committed(head)
             }
-            Then::Cancelled(job) => {
+            ReplyKind::Cancelled(job) => {
                 let cancelled = self.fold.job(*job).is_some_and(|job| job.cancelled);
                 Response::Cancelled(cancelled)
             }
-            Then::Claimed(claim) => match self.fold.ask(claim) {
+            ReplyKind::Claimed(claim) => match self.fold.ask(claim) {
                 Some(claimed) => Response::Claimed(claimed),
                 None => failed(Code::LogUnavailable, Ran::No, "the claim was not read back"),
             },
-            Then::Settled(settled) => Response::Settled(self.fold.claims().settled(settled)),
+            ReplyKind::Settled(settled) => Response::Settled(self.fold.claims().settled(settled)),
         }
     }
 
-    /// Settlements that end claims of processes that are gone.
+    /// Returns settlements for claims that are past their deadline and the grace period.
     pub(super) fn overdue_claims(&self, wall: SystemTime, grace: Duration) -> Vec<work::Record> {
         let overdue = self.fold.claims().overdue(wall, grace, |_| false);
         overdue.into_iter().map(work::Record::Settled).collect()
     }
 
-    /// Stops or continues the sending of items; `true` if the runner has to give some back.
-    pub(super) fn set(&mut self, stop: RunMode) -> bool {
-        self.running = stop == RunMode::Run;
-        self.hand.set(stop) && stop != RunMode::Run
+    /// Sets the run mode of all items. Returns whether the runner has to return some.
+    pub(super) fn set_run_mode(&mut self, run_mode: RunMode) -> bool {
+        self.running = run_mode == RunMode::Run;
+        self.active_items.set_run_mode(run_mode) && run_mode != RunMode::Run
     }
 }
 
-/// Answers; whoever asked may have gone away.
+/// Sends a reply, ignoring a requester that has disconnected.
 pub(super) fn answer(reply: oneshot::Sender<Response>, response: Response) {
     let _ = reply.send(response);
 }
--- a/crates/tinbank-batch/src/owner/upkeep.rs
+++ b/crates/tinbank-batch/src/owner/upkeep.rs
@@ -1,5 +1,5 @@
-//! Carries forward what retention would take: bodies of pending items, results that are to stay readable, and the
-//! shard's state as a checkpoint. See `docs/design/ledger.md`.
+//! Carries records forward before they exceed the log's retention: bodies of pending items, results that have to stay
+//! readable, and the shard's state as a checkpoint. See `docs/design/ledger.md`.
 
 use std::{
     sync::Arc,
@@ -20,86 +20,84 @@
     read::{read_chunk, read_envelope},
 };
 
-/// Chunks that are carried forward in one go.
-const CHUNKS_AT_ONCE: usize = 16;
-/// Largest part of a checkpoint, in bytes.
+/// Maximum chunks carried forward in one batch.
+const MAX_CHUNKS: usize = 16;
+/// Maximum size of one part of a checkpoint, in bytes.
 const PART_BYTES: usize = 256 << 10;
-/// Most bytes of results that go into one record with their chunk, whose bodies take a few hundred KiB at most.
+/// Maximum size, in bytes, of results carried in one record together with their chunk's bodies.
 const RESULT_BYTES: usize = 256 << 10;
-/// In how many parts the retention is divided: what is older than half of it is carried, and it is looked for this often.
-const LOOKS: u32 = 40;
-/// Shortest time between two looks.
-const LOOK_AT_MOST_EVERY: Duration = Duration::from_millis(200);
+/// Number of checks for old records within one retention period. Records older than half of the retention are carried.
+const CHECKS_PER_RETENTION: u32 = 40;
+const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What a shard needs so that retention loses nothing.
+/// Progress of carrying a shard's old records forward.
 #[derive(Debug)]
 pub(super) struct Upkeep {
-    /// When what was appended, as far as we have read it.
+    /// Append times of the records read so far.
     pub(super) marks: Marks,
-    /// Records before this offset will soon be gone, and something there is still needed.
+    /// Records before this offset will soon be deleted, and some of them are still needed.
     pub(super) due: Option<id::Offset>,
-    /// Whether it is being carried forward.
+    /// Whether a batch is being appended.
     under_way: bool,
-    /// What was carried is read back once the fold has come so far.
-    until: id::Offset,
+    /// Fold offset at which the last batch has been read back.
+    read_back_at: id::Offset,
 }
 
 impl Upkeep {
-    /// Nothing is due yet.
     pub(super) fn new(retention: Duration) -> Self {
         Self {
-            marks: Marks::new(look_every(retention)),
+            marks: Marks::new(check_interval(retention)),
             due: None,
             under_way: false,
-            until: 0,
+            read_back_at: 0,
         }
     }
 }
 
-/// How often it is looked for what is getting old.
-fn look_every(retention: Duration) -> Duration {
-    (retention / LOOKS).max(LOOK_AT_MOST_EVERY)
+/// Returns the interval between checks for old records.
+fn check_interval(retention: Duration) -> Duration {
+    (retention / CHECKS_PER_RETENTION).max(MIN_CHECK_INTERVAL)
 }
 
-/// A chunk to carry, as the fold stood.
-struct Carried {
+/// A chunk to carry forward, with the state of the fold when it was chosen.
+struct ChunkToCarry {
     job: id::Job,
     intake: u64,
     cancelled: bool,
     chunk: Chunk,
 }
 
-/// What is appended in one go.
-struct Work {
+/// One batch of records to append.
+struct CarryBatch {
     shard: id::Shard,
-    /// Last offset of the fold that decided it.
+    /// Last offset applied to the fold when the batch was chosen.
     through: id::Offset,
-    carried: Vec<Carried>,
-    /// The state, once all chunks are carried.
+    carried: Vec<ChunkToCarry>,
+    /// The checkpoint, once all chunks are carried.
     checkpoint: Vec<work::Record>,
 }
 
 impl Control {
-    /// Looks which shards hold something that is getting old.
-    pub(super) fn look_for_upkeep(&mut self, now: Instant) {
-        if now < self.upkeep_at {
+    /// Marks the shards that hold old records which are still needed.
+    pub(super) fn check_retention(&mut self, now: Instant) {
+        if now < self.next_retention_check {
             return;
         }
         let retention = self.deps.retention;
-        self.upkeep_at = now + look_every(retention);
+        self.next_retention_check = now + check_interval(retention);
         let Some(old) = SystemTime::now().checked_sub(retention / 2) else {
             return;
         };
-        for followed in self.shards.values_mut().filter(|followed| followed.current) {
+        for followed in self.shards.values_mut().filter(|followed| followed.caught_up) {
             let before = followed.upkeep.marks.before(old);
             if followed.fold.needs_care(before) {
-                // What was once due stays so until it is done: the lease that it needs makes the shard look young again.
+                // Due records stay due until carried, since the lease needed for that adds new records to the shard.
                 followed.upkeep.due = followed.upkeep.due.max(Some(before));
             }
         }
     }
 
-    /// Carries forward what is due, some chunks at a time, then the state.
+    /// Carries due chunks forward, one batch at a time, and then the checkpoint.
     pub(super) fn do_upkeep(&mut self, shard: id::Shard) {
         let Some(followed) = self.shards.get_mut(&shard) else {
             return;
@@ -107,15 +105,15 @@
         let (Some(before), false) = (followed.upkeep.due, followed.upkeep.under_way) else {
             return;
         };
-        if followed.fold.next() < followed.upkeep.until {
+        if followed.fold.next() < followed.upkeep.read_back_at {
             return;
         }
         let Some(through) = followed.fold.next().checked_sub(1) else {
             return;
         };
-        let due = followed.fold.to_carry(before).take(CHUNKS_AT_ONCE);
-        let carried: Vec<Carried> = due
-            .map(|carry| Carried {
+        let due = followed.fold.to_carry(before).take(MAX_CHUNKS);
+        let carried: Vec<ChunkToCarry> = due
+            .map(|carry| ChunkToCarry {
                 job: carry.job,
                 intake: carry.intake,
                 cancelled: carry.cancelled,
@@ -131,41 +129,41 @@
             return;
         }
         followed.upkeep.under_way = true;
-        let work = Work {
+        let batch = CarryBatch {
             shard,
             through,
             carried,
             checkpoint,
         };
         let (log, writer) = (self.deps.log.clone(), self.deps.writer.clone());
-        let done = self.done.clone();
+        let done = self.task_done.clone();
         self.deps.traffic.spawn(async move {
-            let last = work.append(log, writer).await;
+            let last = batch.append(log, writer).await;
             if let Err(reason) = &last {
-                log::warn!(event = "upkeep_failed", shard, reason:%; "old records were not carried forward yet");
+                log::warn!(event = "upkeep_failed", shard, reason:%; "failed to carry old records forward; retrying at the next check");
             }
             let last = last.ok();
             // The control task ends only with the process.
-            let _ = done.send(Input::Kept { shard, last });
+            let _ = done.send(Input::Carried { shard, last });
         });
     }
 
-    pub(super) fn kept(&mut self, shard: id::Shard, last: Option<id::Offset>) {
+    pub(super) fn on_carried(&mut self, shard: id::Shard, last: Option<id::Offset>) {
         self.dirty.insert(shard);
         let Some(followed) = self.shards.get_mut(&shard) else {
             return;
         };
         followed.upkeep.under_way = false;
         match last {
-            Some(last) => followed.upkeep.until = last + 1,
-            // The next look begins anew.
+            Some(last) => followed.upkeep.read_back_at = last + 1,
+            // The next check marks the shard again.
             None => followed.upkeep.due = None,
         }
     }
 }
 
-impl Work {
-    /// Appends all in order, and gives the offset of the last.
+impl CarryBatch {
+    /// Appends all records in order, and returns the offset of the last.
     async fn append(self, log: Arc<dyn Log>, writer: Writer) -> Result<id::Offset, String> {
         let stream = Stream::Work(self.shard);
         let mut last = self.through;
@@ -180,8 +178,8 @@
         Ok(last)
     }
 
-    /// A chunk whose results are large is carried in several records, the one with its bodies last.
-    async fn records(&self, log: &dyn Log, carried: &Carried) -> Result<Vec<work::Record>, String> {
+    /// Builds the records that carry a chunk. A chunk with large results takes several, the one with its bodies last.
+    async fn records(&self, log: &dyn Log, carried: &ChunkToCarry) -> Result<Vec<work::Record>, String> {
         let chunk = &carried.chunk;
         let body = read_chunk(log, self.shard, chunk.place()).await?;
         let mut results = Vec::with_capacity(chunk.results().len());
@@ -194,7 +192,7 @@
             cancelled: carried.cancelled,
             chunk,
         };
-        let bytes: usize = results.iter().map(answers).sum();
+        let bytes: usize = results.iter().map(answer_bytes).sum();
         if bytes <= RESULT_BYTES {
             return Ok(vec![result::carried(&carry, &body, &results, self.through)]);
         }
@@ -214,8 +212,9 @@
     appended.map_err(|error| error.to_string())
 }
 
-/// Bytes of the answers that an envelope holds; those of other chunks count as well, which only splits a little early.
-fn answers(envelope: &Envelope<work::Record>) -> usize {
+/// Returns the size of the answers in an envelope, in bytes. Includes answers of other chunks, which only splits records
+/// slightly earlier.
+fn answer_bytes(envelope: &Envelope<work::Record>) -> usize {
     let completions = envelope.records.iter().flat_map(|record| match record {
         work::Record::Completed(completed) => completed.completions.as_slice(),
         work::Record::Moved(moved) => moved.completed.completions.as_slice(),
