--- a/crates/tinbank-batch/src/control/mod.rs
+++ b/crates/tinbank-batch/src/control/mod.rs
@@ -1,4 +1,5 @@
-//! What keeps a batch process's picture of upstreams, customers and members fresh, besides what all processes do.
+//! Tasks that keep a batch process's view of upstreams, customers and members up to date, in addition to those of all
+//! processes.
 
 mod peers;
 
@@ -16,7 +17,7 @@
 use tinbank_routing::Table;
 use tokio::sync::watch;
 
-/// Requests that an engine runs at once when the platform doesn't say.
+/// Slots of an engine if the platform does not report them.
 const DEFAULT_SLOTS: u32 = 8;
 
 /// Starts the tasks on the current runtime, once the process has joined its peers.
@@ -28,7 +29,7 @@
     writers: watch::Sender<usize>,
     reports_per_second: u32,
 ) {
-    core.spawn(take_lists(core.hosts(), table.clone(), admission.clone()));
+    core.spawn(apply_host_lists(core.hosts(), table.clone(), admission.clone()));
     upstreams::follow(core, table, reports_per_second);
     core.spawn(count_writers(membership.watch(), writers));
     let mut progress = core.follower.progress();
@@ -44,7 +45,7 @@
     });
 }
 
-async fn take_lists(mut lists: hosts::Watch, table: Table, admission: Admission) {
+async fn apply_host_lists(mut lists: hosts::Watch, table: Table, admission: Admission) {
     loop {
         let list = lists.borrow_and_update().clone();
         if let Some(list) = list {
@@ -57,7 +58,7 @@
     }
 }
 
-/// Tells the log writer how many processes share the budget of appends.
+/// Sends the log writer the number of processes that share the budget of appends.
 async fn count_writers(mut members: watch::Receiver<Arc<Members>>, writers: watch::Sender<usize>) {
     loop {
         let ready = members.borrow_and_update().ready(id::Role::Batch).count();
--- a/crates/tinbank-batch/src/control/peers.rs
+++ b/crates/tinbank-batch/src/control/peers.rs
@@ -1,4 +1,4 @@
-//! Frames about credits go to the admission controllers.
+//! Passes datagrams about credits to the admission controllers.
 
 use tinbank_admission::Service as Admission;
 use tinbank_base::{frame::credit, record::Writer};
--- a/crates/tinbank-batch/src/http/context.rs
+++ b/crates/tinbank-batch/src/http/context.rs
@@ -1,4 +1,4 @@
-//! What the handlers work with.
+//! Shared state of the HTTP handlers.
 
 use std::{
     sync::Arc,
@@ -23,35 +23,35 @@
 
 use crate::{owner_client::OwnerClient, intake::Intake};
 
-/// Time to answer a question about a job.
-pub(super) const ASK_TIMEOUT: Duration = Duration::from_secs(10);
+/// Timeout of requests to shard owners.
+pub(super) const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What the handlers work with.
+/// Shared state of the HTTP handlers.
 #[derive(Debug)]
 pub struct Context {
-    /// Takes in jobs.
+    /// Accepts jobs.
     pub intake: Intake,
-    /// Asks owners of shards.
+    /// Sends requests to shard owners.
     pub owner_client: OwnerClient,
-    /// How many work shards the deployment has.
+    /// Number of work shards in the deployment.
     pub shards: id::Shard,
     /// The configuration in force.
     pub configuration: Shared,
-    /// Who is there.
+    /// The cluster's members.
     pub directory: Arc<dyn Directory>,
-    /// Whether new work is taken.
+    /// Readiness of the process.
     pub flag: Flag,
-    /// The time line.
+    /// Timeline of events.
     pub recorder: Recorder,
     /// The metrics.
     pub metrics: metrics::Handle,
 }
 
 impl Context {
-    /// Whose key the request bears.
+    /// Returns the customer that the request's key belongs to.
     ///
     /// # Errors
-    /// `Unauthorized` without a key, or with one that is not known.
+    /// Returns `Unauthorized` if the key is missing or unknown.
     pub(super) fn customer(&self, headers: &HeaderMap) -> Result<Arc<Customer>, Failure> {
         let key = caller::bearer(headers)?;
         let configuration = self.configuration.load();
@@ -61,22 +61,22 @@
             .ok_or_else(|| Failure::not_run(Code::Unauthorized, "the key is not known"))
     }
 
-    /// A job of the caller, by the id in the path.
+    /// Returns the status of the caller's job with the ID in the path.
     ///
     /// # Errors
-    /// `NotFound` also for another customer's job, so that ids tell nothing.
+    /// Returns `NotFound` also for another customer's job, so that the existence of IDs is not disclosed.
     pub(super) async fn job(&self, headers: &HeaderMap, text: &str) -> Result<Status, Failure> {
         let customer = self.customer(headers)?;
-        let job = id::parse_wide(text).ok_or_else(|| missing(text))?;
+        let job = id::parse_wide(text).ok_or_else(|| job_not_found(text))?;
         let shard = placement::shard_of_job(job, self.shards);
         match self.ask(shard, Request::Job { job }).await? {
             Response::Job(Some(status)) if status.head.customer == customer.name => Ok(status),
-            Response::Job(_) => Err(missing(text)),
-            other => Err(unexpected(&other)),
+            Response::Job(_) => Err(job_not_found(text)),
+            other => Err(unexpected_response(&other)),
         }
     }
 
-    /// Asks the owner of a shard and gives the last frame of its answer.
+    /// Sends a request to the owner of a shard and returns the last frame of its answer.
     pub(super) async fn ask(
         &self,
         shard: id::Shard,
@@ -84,7 +84,7 @@
     ) -> Result<Response, Failure> {
         let frames = self
             .owner_client
-            .ask(shard, request, until())
+            .ask(shard, request, deadline())
             .await
             .map_err(not_run);
         let last = frames?.pop();
@@ -92,12 +92,12 @@
     }
 }
 
-/// When a question asked now is given up.
-pub(super) fn until() -> Instant {
-    Instant::now() + ASK_TIMEOUT
+/// Returns the deadline of a request sent now.
+pub(super) fn deadline() -> Instant {
+    Instant::now() + REQUEST_TIMEOUT
 }
 
-/// A failed question changed nothing, whoever was asked.
+/// Marks the failure of a read request as not run, since reading has no effect.
 pub(super) fn not_run(failure: Failure) -> Failure {
     Failure {
         ran: tinbank_base::outcome::Ran::No,
@@ -105,12 +105,12 @@
     }
 }
 
-pub(super) fn missing(job: &str) -> Failure {
+pub(super) fn job_not_found(job: &str) -> Failure {
     Failure::not_run(Code::NotFound, format!("there is no batch {job:?}"))
 }
 
-pub(super) fn unexpected(response: &Response) -> Failure {
-    log::error!(response:?; "an owner gave an answer to another question");
+pub(super) fn unexpected_response(response: &Response) -> Failure {
+    log::error!(response:?; "shard owner sent an unexpected response");
     Failure::not_run(
         Code::Internal,
         "the owner gave an answer to another question",
--- a/crates/tinbank-batch/src/http/item.rs
+++ b/crates/tinbank-batch/src/http/item.rs
@@ -18,27 +18,27 @@
 use tokio::time;
 
 use super::{
-    context::{Context, until},
+    context::{Context, deadline},
     view::Item,
 };
 use crate::pages::{Page, Pages};
 
-/// Shards that are searched at once.
-const SHARDS_AT_ONCE: usize = 4;
+/// Maximum shards searched concurrently.
+const MAX_CONCURRENT_SHARDS: usize = 4;
 
-/// Pause before a shard is asked again that has not been told of the job yet.
-const NOT_YET: Duration = Duration::from_millis(50);
+/// Delay before asking a shard again that has not received the job's release yet.
+const RELEASE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Which item.
+/// Path parameters of an item.
 #[derive(Debug, Deserialize, JsonSchema)]
 pub(super) struct ItemPath {
-    /// The job's id.
+    /// The job ID.
     id: String,
-    /// The caller's name for the item.
+    /// The caller's ID of the item.
     custom_id: String,
 }
 
-/// State and result of one item.
+/// Returns the state and result of one item.
 #[endpoint {
     method = GET,
     path = "/v1/batches/{id}/items/{custom_id}",
@@ -61,9 +61,9 @@
     let mut searches = Vec::with_capacity(status.head.shards.len());
     for shard in &status.head.shards {
         let pages = Pages::new(context.owner_client.clone(), &status.head, *shard, context.shards);
-        searches.push(find(pages.only(&path.custom_id)));
+        searches.push(find(pages.with_custom_id(&path.custom_id)));
     }
-    let mut found = stream::iter(searches).buffer_unordered(SHARDS_AT_ONCE);
+    let mut found = stream::iter(searches).buffer_unordered(MAX_CONCURRENT_SHARDS);
     while let Some(item) = found.try_next().await? {
         if let Some(item) = item {
             return json(StatusCode::OK, &item);
@@ -74,7 +74,7 @@
 }
 
 async fn find(mut pages: Pages) -> Result<Option<Item>, Failure> {
-    let until = until();
+    let deadline = deadline();
     loop {
         match pages.next().await? {
             Page::Items(page) => {
@@ -82,8 +82,8 @@
                     return Ok(Some(Item::of(outcome, page.cancelled)));
                 }
             }
-            Page::NotYet if Instant::now() < until => time::sleep(NOT_YET).await,
-            Page::NotYet => {
+            Page::NotReleased if Instant::now() < deadline => time::sleep(RELEASE_POLL_INTERVAL).await,
+            Page::NotReleased => {
                 let message = "the batch has only just been taken in";
                 return Err(Failure::not_run(Code::NotReady, message).help("ask again"));
             }
--- a/crates/tinbank-batch/src/http/job.rs
+++ b/crates/tinbank-batch/src/http/job.rs
@@ -23,21 +23,21 @@
 use tokio::time;
 
 use super::{
-    context::{Context, unexpected, until},
+    context::{Context, unexpected_response, deadline},
     view::{Counts, Job, JobState},
 };
 
-/// How often it is looked whether a cancelled job has stopped.
-const STOPPED_LOOK: Duration = Duration::from_millis(50);
+/// Interval of checks whether a cancelled job has stopped.
+const CANCEL_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Which job.
+/// Path parameters of a job.
 #[derive(Debug, Deserialize, JsonSchema)]
 pub(super) struct JobPath {
-    /// The id that its acceptance gave.
+    /// The job ID returned when the job was accepted.
     pub(super) id: String,
 }
 
-/// State and counts of a job.
+/// Returns the state and counts of a job.
 #[endpoint {
     method = GET,
     path = "/v1/batches/{id}",
@@ -51,7 +51,7 @@
     answer(show(rqctx.context(), headers, &id).await)
 }
 
-/// Stops a job: completions after it don't count, and what runs is cancelled at the upstream.
+/// Cancels a job: later completions are ignored, and running items are cancelled at the upstream.
 ///
 /// Answers 200 once the job has stopped in all its shards, and 202 with the state `cancelling` if that takes longer.
 #[endpoint {
@@ -64,7 +64,7 @@
 ) -> Result<Response<Body>, Reply> {
     let id = path.into_inner().id;
     let headers = rqctx.request.headers();
-    answer(stop(rqctx.context(), headers, &id).await)
+    answer(cancel(rqctx.context(), headers, &id).await)
 }
 
 async fn show(context: &Context, headers: &HeaderMap, id: &str) -> Result<Response<Body>, Reply> {
@@ -76,21 +76,21 @@
     )
 }
 
-async fn stop(context: &Context, headers: &HeaderMap, id: &str) -> Result<Response<Body>, Reply> {
+async fn cancel(context: &Context, headers: &HeaderMap, id: &str) -> Result<Response<Body>, Reply> {
     let status = context.job(headers, id).await?;
     let job = status.head.job;
     let shard = placement::shard_of_job(job, context.shards);
     let frames = context
         .owner_client
-        .ask(shard, Request::Cancel { job }, until())
+        .ask(shard, Request::Cancel { job }, deadline())
         .await;
-    // One that had ended before stays as it is; its state says so.
+    // A job that had already ended is not changed; its state shows this.
     let cancelled = match frames?.pop() {
         Some(request::Response::Cancelled(cancelled)) => cancelled,
-        Some(other) => return Err(unexpected(&other).into()),
+        Some(other) => return Err(unexpected_response(&other).into()),
         None => return Err(Failure::unknown(Code::Internal, "empty answer").into()),
     };
-    let mut status = stopped(context, headers, id, cancelled).await?;
+    let mut status = wait_until_stopped(context, headers, id, cancelled).await?;
     status.cancelled |= cancelled;
     let state = JobState::of(&status);
     let code = match state {
@@ -101,29 +101,29 @@
     json(code, &Job::of(&status.head, state, Some(counts)))
 }
 
-/// Waits until every shard has said that the job stopped there: a shard whose owner was lost reads the cancel only once
-/// it has a new one, and until then items may still start and count. Gives up in time for the answer.
+/// Waits until every shard reports that the job has stopped, or the deadline passes. A shard that lost its owner reads the
+/// cancel only once it has a new one; until then its items may still start and complete.
 ///
-/// Whoever tells the status may not have read the cancel yet, though another has.
-async fn stopped(
+/// The process that returns the status may lag and not have read the cancel yet.
+async fn wait_until_stopped(
     context: &Context,
     headers: &HeaderMap,
     id: &str,
     cancelled: bool,
 ) -> Result<Status, Failure> {
-    let until = until();
+    let deadline = deadline();
     loop {
         let status = context.job(headers, id).await?;
         let current = status.cancelled || !cancelled;
         let stopped = JobState::of(&status) != JobState::Cancelling;
-        if (current && stopped) || Instant::now() >= until {
+        if (current && stopped) || Instant::now() >= deadline {
             return Ok(status);
         }
-        time::sleep(STOPPED_LOOK).await;
+        time::sleep(CANCEL_POLL_INTERVAL).await;
     }
 }
 
-/// Counts of the whole job: shards that have finished said so in the head's shard, the others are asked.
+/// Returns the counts of the whole job. Finished shards have recorded theirs in the head's shard; the others are asked.
 async fn counts(context: &Context, status: &Status) -> Result<Counts, Failure> {
     let head = &status.head;
     let finished = status.parts.iter().map(|part| Count {
@@ -148,6 +148,6 @@
     };
     match context.ask(shard, request).await? {
         request::Response::Counted(count) => Ok(count),
-        other => Err(unexpected(&other)),
+        other => Err(unexpected_response(&other)),
     }
 }
--- a/crates/tinbank-batch/src/http/mod.rs
+++ b/crates/tinbank-batch/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! The callers' interface of batch jobs. See `docs/api.md`.
+//! HTTP API for batch jobs. See `docs/api.md`.
 
 pub mod context;
 mod item;
@@ -13,10 +13,10 @@
 
 pub use context::Context;
 
-/// The whole interface, operators' endpoints included.
+/// Returns the API, including the operators' endpoints.
 ///
 /// # Errors
-/// Two endpoints clash; a fault of ours.
+/// Returns an error if two endpoints conflict, which is a bug.
 pub fn api() -> Result<ApiDescription<Arc<Context>>, ApiDescriptionRegisterError> {
     let mut api = ApiDescription::new();
     api.register(submit::submit_batch)?;
--- a/crates/tinbank-batch/src/http/results.rs
+++ b/crates/tinbank-batch/src/http/results.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/batches/{id}/results`: all items that have ended, as NDJSON, in bounded memory.
+//! `GET /v1/batches/{id}/results`: streams all ended items as NDJSON, in bounded memory.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -19,7 +19,8 @@
 };
 use crate::pages::{Page, Pages};
 
-/// All items that have ended, one a line. If the stream breaks, the connection is cut, so that a part never looks whole.
+/// Returns all items that have ended, one per line. If reading fails, the connection is aborted, so that a partial result
+/// is never mistaken for a whole one.
 #[endpoint {
     method = GET,
     path = "/v1/batches/{id}/results",
@@ -48,12 +49,12 @@
 }
 
 struct State {
-    /// One reader for each shard; the first is being read.
+    /// One reader per shard, read in order.
     pages: VecDeque<Pages>,
 }
 
 impl State {
-    /// The lines of the next page that has any.
+    /// Returns the lines of the next page that has any.
     async fn next(&mut self) -> Result<Option<Bytes>, Failure> {
         while let Some(pages) = self.pages.front_mut() {
             let Page::Items(page) = pages.next().await? else {
--- a/crates/tinbank-batch/src/http/submit.rs
+++ b/crates/tinbank-batch/src/http/submit.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/batches`: takes in a job.
+//! `POST /v1/batches`: accepts a job.
 
 use std::{sync::Arc, time::SystemTime};
 
@@ -23,21 +23,21 @@
 };
 use crate::intake::{Submission, Accepted, submission::SubmitOptions};
 
-/// Largest body of a job, in bytes; the intake's own limit is the same.
+/// Maximum size of a job's body in bytes, equal to the intake's limit.
 const MAX_BODY_BYTES: usize = 4 << 30;
 
-/// What is wanted of a job.
+/// Query parameters of a submitted job.
 #[derive(Debug, Deserialize, JsonSchema)]
 pub struct Submit {
     /// Name of the service that runs the items.
     pub service: String,
-    /// When the job is due, as in RFC 3339.
+    /// When the job is due, as an RFC 3339 timestamp.
     pub due: Option<String>,
 }
 
-/// Takes in a job: one item a line, each with `custom_id`, `body` and, optionally, `repeatable`.
+/// Submits a job: one item per line, each with `custom_id`, `body` and, optionally, `repeatable`.
 ///
-/// The answer comes when the job lasts: 201 for a new one, 200 for one that the same idempotency key made before.
+/// Responds once the job is durable: 201 for a new job, 200 for one created earlier with the same idempotency key.
 #[endpoint {
     method = POST,
     path = "/v1/batches",
@@ -50,16 +50,16 @@
 ) -> Result<Response<Body>, Reply> {
     let context = rqctx.context();
     let headers = rqctx.request.headers();
-    answer(take(context, headers, &query.into_inner(), body).await)
+    answer(submit_job(context, headers, &query.into_inner(), body).await)
 }
 
-async fn take(
+async fn submit_job(
     context: &Context,
     headers: &HeaderMap,
     submit: &Submit,
     body: StreamingBody,
 ) -> Result<Response<Body>, Reply> {
-    // A stopping process goes on taking jobs in until the balancer has noticed; others run them.
+    // A stopping process accepts jobs until the load balancer has noticed; other processes run them.
     if context.flag.state() == State::Starting {
         let message = "the process is starting";
         return Err(Failure::not_run(Code::NotReady, message).into());
@@ -74,8 +74,8 @@
         length: length(headers),
     };
     let submission = Submission::check(customer, &options, SystemTime::now())?;
-    let accepted = context.intake.take(&submission, body.into_stream()).await;
-    note(context, &submission, &accepted);
+    let accepted = context.intake.accept(&submission, body.into_stream()).await;
+    record_submission(context, &submission, &accepted);
     let Accepted { head, new } = accepted?;
     let status = match new {
         true => StatusCode::CREATED,
@@ -90,7 +90,7 @@
     value.to_str().ok()?.parse().ok()
 }
 
-fn note(context: &Context, submission: &Submission, accepted: &Result<Accepted, Failure>) {
+fn record_submission(context: &Context, submission: &Submission, accepted: &Result<Accepted, Failure>) {
     let job = accepted.as_ref().ok().map(|accepted| accepted.head.job);
     let subject = Subject {
         job,
--- a/crates/tinbank-batch/src/http/view.rs
+++ b/crates/tinbank-batch/src/http/view.rs
@@ -1,4 +1,4 @@
-//! The JSON forms of jobs and items.
+//! JSON representation of jobs and items.
 
 use std::time::SystemTime;
 
@@ -16,99 +16,99 @@
 /// A job.
 #[derive(Debug, Serialize)]
 pub struct Job {
-    /// Its id.
+    /// Job ID.
     pub id: String,
     /// Always `batch`.
     pub object: &'static str,
-    /// Which service runs it.
+    /// Service that runs the items.
     pub service: id::Service,
-    /// How far it is.
+    /// State of the job.
     pub state: JobState,
-    /// Its items by state; absent where only the head was looked at.
+    /// Number of items by state; absent if only the head was read.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub counts: Option<Counts>,
-    /// When it was taken in.
+    /// When the job was received.
     pub received: Timestamp,
-    /// When it is due.
+    /// When the job is due.
     pub due: Timestamp,
-    /// How long its results stay readable.
+    /// Time until which the results stay readable.
     pub keep_until: Timestamp,
 }
 
-/// How far a job is.
+/// State of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobState {
-    /// Items wait or run.
+    /// Some items are waiting or running.
     Running,
-    /// It was cancelled, and some shard has not yet said that it stopped.
+    /// The job was cancelled, but not all shards have stopped it.
     Cancelling,
-    /// It was cancelled and has stopped.
+    /// The job was cancelled and has stopped.
     Cancelled,
     /// Every item has ended.
     Completed,
 }
 
-/// Items of a job by state.
+/// Number of items of a job by state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// All.
+    /// All items.
     pub total: id::Item,
-    /// Not yet ended.
+    /// Items that have not ended.
     pub pending: id::Item,
-    /// With an answer.
+    /// Items that ended with an answer.
     pub answered: id::Item,
-    /// Ended as failed.
+    /// Items that failed.
     pub failed: id::Item,
-    /// Stopped by a cancel.
+    /// Items stopped by a cancel.
     pub cancelled: id::Item,
 }
 
 /// An item.
 #[derive(Debug, Serialize)]
 pub struct Item {
-    /// The caller's name for it.
+    /// The caller's ID of the item.
     pub custom_id: String,
-    /// How far it is.
+    /// State of the item.
     pub state: ItemState,
-    /// How many times it was sent to an upstream.
+    /// Number of attempts at upstreams.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub attempts: Option<u16>,
     /// The service's answer.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub response: Option<Box<RawValue>>,
-    /// Why there is no answer.
+    /// Reason for the failure.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub error: Option<Error>,
 }
 
-/// How far an item is.
+/// State of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ItemState {
-    /// It waits or runs.
+    /// The item is waiting or running.
     Pending,
-    /// It has an answer.
+    /// The item has an answer.
     Answered,
-    /// It can't be done.
+    /// The item failed.
     Failed,
-    /// The job's cancel came before its end.
+    /// The job was cancelled before the item ended.
     Cancelled,
 }
 
 /// Why an item failed.
 #[derive(Debug, Serialize)]
 pub struct Error {
-    /// For machines.
+    /// Machine-readable error code.
     pub code: Code,
-    /// Whether it ran.
+    /// Whether the item ran.
     pub ran: Ran,
-    /// For people.
+    /// Human-readable message.
     pub message: String,
 }
 
 impl Job {
-    /// A job as its head says.
+    /// Creates the representation from a job's head.
     pub fn of(head: &Head, state: JobState, counts: Option<Counts>) -> Self {
         Self {
             id: id::format_wide(head.job),
@@ -124,7 +124,7 @@
 }
 
 impl Counts {
-    /// All items of a job that has just been taken in.
+    /// Returns the counts of a newly accepted job, all of whose items are pending.
     pub fn pending(items: id::Item) -> Self {
         Self {
             total: items,
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Adds up what the shards have counted. Items that no shard has counted yet are pending.
+    /// Sums the counts of shards. Items that no shard has counted yet are pending.
     pub fn sum(items: id::Item, counts: impl IntoIterator<Item = Count>) -> Self {
         let mut sum = Self {
             total: items,
@@ -151,7 +151,7 @@
 }
 
 impl JobState {
-    /// The state of a job.
+    /// Returns the state of a job.
     pub fn of(status: &Status) -> Self {
         let ended = status.parts.len() >= status.head.shards.len();
         match (status.cancelled, ended) {
@@ -164,7 +164,7 @@
 }
 
 impl Item {
-    /// An item as its owner says.
+    /// Creates the representation from the outcome reported by the shard's owner.
     pub fn of(outcome: Outcome, job_cancelled: bool) -> Self {
         let custom_id = outcome.custom_id;
         let Some(completion) = outcome.completion else {
@@ -200,13 +200,13 @@
     }
 }
 
-/// An answer as it came; it was checked to be JSON before it was stored.
+/// Returns an answer as raw JSON; it was validated before it was stored.
 fn raw(answer: &Bytes) -> Option<Box<RawValue>> {
     let text = String::from_utf8(answer.to_vec()).ok()?;
     RawValue::from_string(text).ok()
 }
 
-/// A time as callers see it; one that has no such form becomes the epoch.
+/// Converts a time for callers; a time that cannot be represented becomes the Unix epoch.
 fn timestamp(time: SystemTime) -> Timestamp {
     Timestamp::try_from(time).unwrap_or(Timestamp::UNIX_EPOCH)
 }
--- a/crates/tinbank-batch/src/pages.rs
+++ b/crates/tinbank-batch/src/pages.rs
@@ -1,4 +1,4 @@
-//! Reads a job's results in one shard page by page, from whoever owns the shard by then.
+//! Reads a job's results in one shard page by page, each page from the shard's current owner.
 
 use std::time::{Duration, Instant};
 
@@ -12,7 +12,7 @@
 
 use crate::owner_client::OwnerClient;
 
-/// Time to read one page.
+/// Timeout for reading one page.
 const PAGE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// A reader of a job's results in one shard.
@@ -29,29 +29,29 @@
     custom_id: Option<String>,
 }
 
-/// What was read.
+/// The result of reading one page.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Page {
-    /// Some items, or none.
+    /// Items of the page, possibly none.
     Items(Items),
-    /// The shard has not yet been told of the job; none of its items has ended.
-    NotYet,
-    /// There are no more.
+    /// The job has not been released to the shard yet, so none of its items has ended.
+    NotReleased,
+    /// There are no more pages.
     End,
 }
 
-/// Items of a job, as a shard's owner says.
+/// Items of a job, as reported by the shard's owner.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Items {
     /// The items, ended or not.
     pub outcomes: Vec<Outcome>,
-    /// Whether those that have not ended never will: the shard has read the job's cancel. Until then a completion may
-    /// still count.
+    /// Whether the shard has read the job's cancel, so that pending items will never end. Until then, a completion may still
+    /// take effect.
     pub cancelled: bool,
 }
 
 impl Pages {
-    /// A reader at the start.
+    /// Creates a reader at the first page.
     pub fn new(owner_client: OwnerClient, head: &Head, shard: id::Shard, shards: id::Shard) -> Self {
         Self {
             owner_client,
@@ -65,18 +65,18 @@
         }
     }
 
-    /// Only the item of this name.
-    pub fn only(self, custom_id: &str) -> Self {
+    /// Restricts the reader to the item with this `custom_id`.
+    pub fn with_custom_id(self, custom_id: &str) -> Self {
         Self {
             custom_id: Some(custom_id.to_owned()),
             ..self
         }
     }
 
-    /// The next items.
+    /// Reads the next page.
     ///
     /// # Errors
-    /// No owner answers in time, or the results can't be read.
+    /// Returns a failure if no owner answers in time or the results cannot be read.
     pub async fn next(&mut self) -> Result<Page, Failure> {
         let Some(first) = self.chunk_from(self.next) else {
             return Ok(Page::End);
@@ -100,7 +100,7 @@
             }
         }
         if ended == 0 {
-            return Ok(Page::NotYet);
+            return Ok(Page::NotReleased);
         }
         self.next = first;
         for _ in 0..ended {
@@ -111,7 +111,7 @@
         Ok(Page::Items(items))
     }
 
-    /// The first chunk of the shard from `from` on.
+    /// Returns the first chunk of the shard at or after `from`.
     fn chunk_from(&self, from: id::Chunk) -> Option<id::Chunk> {
         (from..self.chunks).find(|chunk| {
             placement::shard_of_chunk(self.job, *chunk, self.spread, self.shards) == self.shard
--- a/crates/tinbank-batch/src/server.rs
+++ b/crates/tinbank-batch/src/server.rs
@@ -19,19 +19,19 @@
     control,
     intake::Limits,
     owner::answer::Credits,
-    runner::{partition::Partition, concurrency_gate::ConcurrencyGate},
-    service::{Edges, Service},
+    runner::{concurrency_gate::ConcurrencyGate, partition::Partition},
+    service::{Environment, Service},
     settings::{Admission, Settings},
 };
 
-/// How many members in rank follow a shard: its owner and the one that would take over.
+/// Number of members, in rank order, that follow a shard: its owner and one standby.
 const FOLLOWERS: u32 = 2;
-/// Jobs that are taken in at once.
-const INTAKES: usize = 8;
+/// Maximum jobs accepted concurrently.
+const MAX_CONCURRENT_INTAKES: usize = 8;
 
-/// Most bytes of records in one append: a chunk that is carried forward holds the answers of all its items. The
-/// platform's log has to take records of 1 MiB.
-const GROUP_BYTES: usize = 960 << 10;
+/// Maximum size of the records in one append, in bytes. Has to hold a carried chunk with the answers of all its items; the
+/// platform's log has to accept records of 1 MiB.
+const MAX_APPEND_BYTES: usize = 960 << 10;
 
 /// A running batch process.
 pub struct Server {
@@ -44,10 +44,10 @@
 }
 
 impl Server {
-    /// Starts the process on threads of its own, so that [`Server::kill`] can end it like a lost host.
+    /// Starts the process on its own threads, so that [`Server::kill`] can simulate the loss of its host.
     ///
     /// # Errors
-    /// An address is taken, or the system gives no threads.
+    /// Returns an error if an address is in use or threads cannot be started.
     pub async fn start(settings: Settings) -> Result<Self, Error> {
         let platform = Platform::new(&settings.common);
         Self::start_with(settings, platform).await
@@ -56,7 +56,7 @@
     /// Like [`Server::start`], with another platform.
     ///
     /// # Errors
-    /// Those of [`Server::start`].
+    /// Returns the same errors as [`Server::start`].
     pub async fn start_with(settings: Settings, platform: Platform) -> Result<Self, Error> {
         let (runtimes, handles) = Runtimes::start(settings.common.traffic_threads)?;
         let mut server = Self::start_on(settings, platform, handles).await?;
@@ -64,10 +64,10 @@
         Ok(server)
     }
 
-    /// Starts the process on runtimes that the caller keeps.
+    /// Starts the process on runtimes owned by the caller.
     ///
     /// # Errors
-    /// An address is taken.
+    /// Returns an error if an address is in use.
     pub async fn start_on(
         settings: Settings,
         platform: Platform,
@@ -76,43 +76,43 @@
         on_control(handles, |handles| start(settings, platform, handles)).await
     }
 
-    /// Where callers and operators reach the process.
+    /// Returns the HTTP address for callers and operators.
     pub fn http_address(&self) -> SocketAddr {
         self.http_address
     }
 
-    /// Where other processes reach it.
+    /// Returns the address for other processes.
     pub fn peer_address(&self) -> SocketAddr {
         self.core.endpoint.address()
     }
 
-    /// Which process and start it is.
+    /// Returns the identity and incarnation of the process.
     pub fn writer(&self) -> Writer {
         self.core.writer
     }
 
-    /// Whether it takes requests.
+    /// Returns whether the process accepts requests.
     pub fn is_ready(&self) -> bool {
         self.core.ready.is_ready()
     }
 
-    /// Waits until operators want this host drained; whoever runs the process then stops it.
+    /// Waits until operators request a drain of this host; the caller then stops the process.
     pub async fn drained(&self) {
         self.core.drained().await;
     }
 
-    /// The common part of the process.
+    /// Returns the part common to all processes.
     pub fn core(&self) -> &Arc<Core> {
         &self.core
     }
 
-    /// Its time line.
+    /// Returns the timeline recorder.
     pub fn recorder(&self) -> &Recorder {
         &self.core.recorder
     }
 
-    /// Stops the process without cutting off a request: it becomes unready, tells its peers, goes on serving until the
-    /// balancer has had time to notice, finishes the items in flight, gives back its leases, and finishes every stream.
+    /// Stops the process gracefully: becomes unready, notifies its peers, serves requests until the load balancer has had time
+    /// to notice, finishes the items in flight, releases its leases, and completes all open streams.
     pub async fn stop(self) {
         self.core.begin_leaving();
         let released = time::timeout(self.stop_limit, self.service.release());
@@ -125,14 +125,14 @@
         self.runtimes.end();
     }
 
-    /// Ends the process at once, as when its host is lost: connections break and nobody is told.
+    /// Stops the process at once, like a lost host: connections break and peers are not notified.
     pub fn kill(self) {
         self.core.end();
         self.runtimes.end();
     }
 }
 
-/// Runs on the control thread.
+/// Starts the process; runs on the control thread.
 async fn start(settings: Settings, platform: Platform, handles: Handles) -> Result<Server, Error> {
     let common = &settings.common;
     let core = Core::start(common, id::Role::Batch, platform).await?;
@@ -146,8 +146,8 @@
         core.clone(),
     );
     let (writers, writers_seen) = watch::channel(1);
-    let edges = edges(&settings, &core, &table, &admission, writers_seen, handles);
-    let service = Service::start(edges, Listen::from(common))?;
+    let environment = environment(&settings, &core, &table, &admission, writers_seen, handles);
+    let service = Service::start(environment, Listen::from(common))?;
     let http_address = service.http.local_addr();
     core.join(http_address, Arc::new(service.answerer.clone()))
         .await;
@@ -165,14 +165,14 @@
     })
 }
 
-fn edges(
+fn environment(
     settings: &Settings,
     core: &Arc<Core>,
     table: &Table,
     admission: &AdmissionService,
     writers: watch::Receiver<usize>,
     handles: Handles,
-) -> Edges {
+) -> Environment {
     let gate: Arc<dyn Gate> = match settings.admission {
         Admission::Credits => Arc::new(admission.clone()),
         Admission::Bounded => Arc::new(ConcurrencyGate::new(settings.items_per_upstream)),
@@ -184,15 +184,15 @@
         )),
     };
     let credits: Arc<dyn Credits> = Arc::new(admission.clone());
-    Edges {
+    Environment {
         me: core.writer,
         shards: settings.shards,
         terms: settings.terms(),
         followers: FOLLOWERS,
         retention: Duration::from_secs(settings.log_retention_s),
-        intakes: INTAKES,
+        max_concurrent_intakes: MAX_CONCURRENT_INTAKES,
         items_at_once: settings.items_at_once,
-        plain_at_once: settings.items_per_upstream,
+        max_plain_calls: settings.items_per_upstream,
         limits: Limits::default(),
         log: core.platform.log.clone(),
         upstreams: core.platform.upstreams.clone(),
@@ -218,7 +218,7 @@
                 fleet_per_second: f64::from(settings.appends_per_second),
                 ..budget::Settings::default()
             },
-            group_bytes: GROUP_BYTES,
+            group_bytes: MAX_APPEND_BYTES,
             ..group::Settings::default()
         },
         ..writer::Settings::default()
--- a/crates/tinbank-batch/src/service.rs
+++ b/crates/tinbank-batch/src/service.rs
@@ -1,4 +1,4 @@
-//! The working parts of a batch process, put together. What they reach is given, so that tests can put fakes there.
+//! Assembles the components of a batch process. Their environment is passed in, so that tests can use fakes.
 
 use std::{sync::Arc, time::Duration};
 
@@ -22,153 +22,153 @@
 };
 
 use crate::{
-    owner_client::OwnerClient,
     http::{Context, api},
     intake::{Intake, Limits},
     owner::{
-        Owner, Dependencies,
+        Dependencies, Owner,
         answer::{Answerer, Credits},
     },
+    owner_client::OwnerClient,
     runner::{attempt::AttemptContext, pool},
 };
 
-/// What a batch process reaches, and its bounds.
+/// Dependencies and limits of a batch process.
 #[derive(Debug)]
-pub struct Edges {
-    /// Who we are.
+pub struct Environment {
+    /// This process.
     pub me: Writer,
-    /// How many work shards the deployment has.
+    /// Number of work shards in the deployment.
     pub shards: id::Shard,
-    /// How leases are timed.
+    /// Timing of leases.
     pub terms: Terms,
-    /// How many members in rank follow a shard.
+    /// Number of members, in rank order, that follow a shard.
     pub followers: u32,
     /// How long the log keeps records.
     pub retention: Duration,
-    /// Jobs that are taken in at once.
-    pub intakes: usize,
-    /// Items that are sent at once.
+    /// Maximum jobs accepted concurrently.
+    pub max_concurrent_intakes: usize,
+    /// Maximum items in flight.
     pub items_at_once: usize,
-    /// Calls in one plain service's upstream at once.
-    pub plain_at_once: u32,
-    /// Bounds of a job's body.
+    /// Maximum concurrent calls in one upstream of a plain service.
+    pub max_plain_calls: u32,
+    /// Limits on a job's body.
     pub limits: Limits,
     /// The platform's log.
     pub log: Arc<dyn Log>,
     /// Upstreams.
     pub upstreams: Arc<dyn Upstreams>,
-    /// How the log is written.
+    /// Settings of the log writer.
     pub writer: writer::Settings,
-    /// How many processes share the budget of appends.
+    /// Number of processes that share the budget of appends.
     pub writers: watch::Receiver<usize>,
-    /// Who is there.
+    /// The cluster's members.
     pub directory: Arc<dyn Directory>,
-    /// Reaches the others.
+    /// Connections to other processes.
     pub peers: Arc<dyn Peers>,
     /// The configuration in force.
     pub configuration: Shared,
-    /// Answers peers that ask for the configuration.
+    /// Serves the configuration to peers.
     pub follower: Option<Follower>,
     /// Chooses upstreams.
     pub router: Arc<dyn Router>,
-    /// Lets items into engines.
+    /// Admits items to engines.
     pub gate: Arc<dyn Gate>,
-    /// Takes in datagrams about credits.
+    /// Receives datagrams about credits.
     pub credits: Option<Arc<dyn Credits>>,
-    /// The time line.
+    /// Timeline of events.
     pub recorder: Recorder,
-    /// Whether new work is taken.
+    /// Readiness of the process.
     pub flag: Flag,
     /// The runtimes.
     pub handles: Handles,
 }
 
-/// The working parts of a batch process.
+/// The running components of a batch process.
 pub struct Service {
-    /// The callers' interface.
+    /// HTTP server for callers.
     pub http: http::Server<Arc<Context>>,
-    /// Answers peers.
+    /// Answers requests of peers.
     pub answerer: Answerer,
     owner: Owner,
     control: AbortHandle,
 }
 
 impl Service {
-    /// Starts everything.
+    /// Starts all components.
     ///
     /// # Errors
-    /// The address is taken.
-    pub fn start(edges: Edges, listen: http::Listen) -> Result<Self, Error> {
-        let recorder = edges.recorder.clone();
+    /// Returns an error if the address is in use.
+    pub fn start(environment: Environment, listen: http::Listen) -> Result<Self, Error> {
+        let recorder = environment.recorder.clone();
         let stamper: writer::Stamper = Arc::new(move || recorder.stamp());
-        let traffic = edges.handles.traffic.clone();
+        let traffic = environment.handles.traffic.clone();
         let writer = {
             let _traffic = traffic.enter();
             writer::Writer::start(
-                edges.log.clone(),
-                edges.me,
+                environment.log.clone(),
+                environment.me,
                 stamper,
-                edges.writer,
-                edges.writers,
+                environment.writer,
+                environment.writers,
             )
         };
         let (reports, reported) = mpsc::unbounded_channel();
         let context = AttemptContext {
-            upstreams: edges.upstreams,
+            upstreams: environment.upstreams,
             reports,
-            recorder: edges.recorder.clone(),
+            recorder: environment.recorder.clone(),
         };
         let pool = {
             let _traffic = traffic.enter();
             pool::start(pool::Dependencies {
                 context,
-                router: edges.router,
-                gate: edges.gate,
-                max_plain_calls: edges.plain_at_once,
-                max_in_flight: edges.items_at_once,
+                router: environment.router,
+                gate: environment.gate,
+                max_plain_calls: environment.max_plain_calls,
+                max_in_flight: environment.items_at_once,
             })
         };
         let deps = Dependencies {
-            me: edges.me,
-            shards: edges.shards,
-            terms: edges.terms,
-            followers: edges.followers,
-            retention: edges.retention,
-            log: edges.log.clone(),
+            me: environment.me,
+            shards: environment.shards,
+            terms: environment.terms,
+            followers: environment.followers,
+            retention: environment.retention,
+            log: environment.log.clone(),
             writer: writer.clone(),
-            append_timeout: edges.writer.append_timeout,
-            directory: edges.directory.clone(),
-            configuration: edges.configuration.clone(),
+            append_timeout: environment.writer.append_timeout,
+            directory: environment.directory.clone(),
+            configuration: environment.configuration.clone(),
             pool,
-            recorder: edges.recorder.clone(),
+            recorder: environment.recorder.clone(),
             traffic: traffic.clone(),
         };
         let (owner, task) = {
-            let _control = edges.handles.control.enter();
+            let _control = environment.handles.control.enter();
             Owner::start(deps, reported)
         };
-        let answerer = Answerer::new(owner.clone(), edges.log, edges.follower, edges.credits);
+        let answerer = Answerer::new(owner.clone(), environment.log, environment.follower, environment.credits);
         let owner_client = OwnerClient {
-            me: edges.me,
-            directory: edges.directory.clone(),
-            peers: edges.peers,
+            me: environment.me,
+            directory: environment.directory.clone(),
+            peers: environment.peers,
             answerer: answerer.clone(),
         };
         let intake = Intake::new(
             writer,
             owner_client.clone(),
-            edges.shards,
-            edges.limits,
-            edges.intakes,
+            environment.shards,
+            environment.limits,
+            environment.max_concurrent_intakes,
         );
         let context = Arc::new(Context {
             intake,
             owner_client,
-            shards: edges.shards,
-            configuration: edges.configuration,
-            directory: edges.directory,
-            flag: edges.flag,
-            recorder: edges.recorder,
+            shards: environment.shards,
+            configuration: environment.configuration,
+            directory: environment.directory,
+            flag: environment.flag,
+            recorder: environment.recorder,
             metrics: metrics::install(),
         });
         let api = api().map_err(|error| Error::Interface(error.to_string()))?;
@@ -182,12 +182,12 @@
         })
     }
 
-    /// Finishes what was sent to upstreams and gives back all leases.
+    /// Finishes the items in flight and releases all leases.
     pub async fn release(&self) {
         self.owner.stop().await;
     }
 
-    /// Closes the HTTP server once all open requests have their answers, and ends the control task.
+    /// Closes the HTTP server once all open requests are answered, and ends the control task.
     pub async fn close(self) {
         self.http.end().await;
         self.control.abort();
--- a/crates/tinbank-batch/src/settings.rs
+++ b/crates/tinbank-batch/src/settings.rs
@@ -13,44 +13,44 @@
 /// Settings of the batch process.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Settings {
-    /// What all processes are told.
+    /// Settings common to all processes.
     #[serde(flatten)]
     pub common: Common,
     /// Number of work shards of the deployment.
     pub shards: u16,
-    /// How long the process goes on taking requests after it was told to stop, so that the balancer can notice.
+    /// How long the process accepts requests after a stop was requested, so that the load balancer can notice.
     pub stop_grace_ms: u64,
-    /// How long items in flight may take to end at a stop.
+    /// Timeout for items in flight during a stop.
     pub stop_limit_ms: u64,
     /// Silence after which another process may take a shard's lease.
     pub lease_silence_ms: u64,
-    /// Appends a second of the whole fleet.
+    /// Appends per second of the whole fleet.
     pub appends_per_second: u32,
     /// How long the platform's log keeps records.
     pub log_retention_s: u64,
-    /// Items that the process sends at once.
+    /// Maximum items in flight in the process.
     pub items_at_once: usize,
-    /// What lets items into engines.
+    /// Admission of items to engines.
     pub admission: Admission,
-    /// Slots of each engine that batch never takes, where `admission` is `static`.
+    /// Slots of each engine reserved for online requests if `admission` is `static`.
     pub slots_for_online: u16,
-    /// Where batch stands between throughput and the tail of online requests, for `admission` `credits`.
+    /// Balance between batch throughput and the tail latency of online requests if `admission` is `credits`.
     pub lean_percent: u16,
-    /// Items of this process in one upstream at once, where `admission` is `bounded`, and in plain services.
+    /// Maximum concurrent items of this process in one plain service, and in one engine if `admission` is `bounded`.
     pub items_per_upstream: u32,
-    /// Engines that are asked for their load report each second.
+    /// Engines polled for their load report per second.
     pub reports_per_second: u32,
 }
 
-/// What lets items into engines.
+/// Admission of items to engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Admission {
     /// Credits of the engines' admission controllers.
     Credits,
-    /// A fixed number in each engine.
+    /// A fixed number of items in each engine.
     Bounded,
-    /// A fixed part of each engine's slots, divided among the batch processes; it never gives way.
+    /// A fixed part of each engine's slots, divided among the batch processes and never withdrawn.
     Static,
 }
 
@@ -74,11 +74,12 @@
     }
 }
 
-/// Reads at the tail come up to a second apart, so that less would take a quiet log for a failing one.
-const SHORTEST_STALE: Duration = Duration::from_millis(1_500);
+/// Minimum time after which reads count as stale. Reads at the tail can be a second apart, so a shorter time would treat a
+/// quiet log as failing.
+const MIN_STALE: Duration = Duration::from_millis(1_500);
 
 impl Settings {
-    /// How leases are timed: all times follow from the silence.
+    /// Returns the timing of leases, derived from `lease_silence_ms`.
     pub fn terms(&self) -> Terms {
         let silence = Duration::from_millis(self.lease_silence_ms);
         Terms {
@@ -87,7 +88,7 @@
             gap: silence / 3 + Duration::from_secs(1),
             renew: silence / 3,
             retry: silence / 3,
-            stale: (silence / 2).max(SHORTEST_STALE),
+            stale: (silence / 2).max(MIN_STALE),
             ..Terms::default()
         }
     }
--- a/crates/tinbank-batch/tests/appends.rs
+++ b/crates/tinbank-batch/tests/appends.rs
@@ -1,4 +1,4 @@
-//! How many appends a thousand items take. The numbers go with the budget, not with the speed of the build.
+//! Measures the appends per thousand items. The result depends on the budget of appends, not on the speed of the build.
 
 mod support;
 
@@ -10,7 +10,7 @@
     record::{Envelope, work::Record},
 };
 
-/// Items of each of the jobs that run at once.
+/// Items of each concurrent job.
 const ITEMS: usize = 2_048;
 const JOBS: usize = 4;
 
@@ -29,8 +29,8 @@
             let caller = caller.clone();
             async move {
                 let key = format!("sweep-{job}");
-                let id = caller.accepted(Some(&key), lines(job * ITEMS, ITEMS)).await;
-                caller.until(&id, "completed").await;
+                let id = caller.submit_accepted(Some(&key), lines(job * ITEMS, ITEMS)).await;
+                caller.wait_for_state(&id, "completed").await;
             }
         });
         futures::future::join_all(jobs).await;
@@ -49,7 +49,7 @@
     }
 }
 
-/// Appends by the kinds of records that they hold.
+/// Returns the number of appends by the kinds of records in them.
 fn kinds(world: &World) -> BTreeMap<String, usize> {
     let mut kinds = BTreeMap::new();
     for shard in 0..SHARDS {
--- a/crates/tinbank-batch/tests/attempt.rs
+++ b/crates/tinbank-batch/tests/attempt.rs
@@ -9,7 +9,7 @@
     time::{Instant, SystemTime},
 };
 
-use engines::{Engines, Routes};
+use engines::{Engines, FirstUntried};
 use smallvec::SmallVec;
 use tinbank_admission::Pass;
 use tinbank_base::id;
@@ -77,7 +77,7 @@
         prefix: 0,
         tried: SmallVec::new(),
     };
-    let choice = Routes(engines.clone()).choose(&ask, Instant::now());
+    let choice = FirstUntried(engines.clone()).choose(&ask, Instant::now());
     let choice = choice.unwrap();
     let pass = Pass {
         upstream: choice.target.upstream,
@@ -88,8 +88,8 @@
 }
 
 /// Returns the number of requests started and of requests cancelled at the engines.
-fn account(engines: &Engines) -> (usize, usize) {
-    let cancelled = engines.read(|account| account.cancelled.len());
+fn started_and_cancelled(engines: &Engines) -> (usize, usize) {
+    let cancelled = engines.read(|call_log| call_log.cancelled.len());
     (engines.starts(), cancelled)
 }
 
@@ -108,7 +108,7 @@
     let end = attempt::run(&context(&engines), &mut task, placement(&engines, withdrawn)).await;
 
     assert!(matches!(end, AttemptEnd::Stopped | AttemptEnd::Withdrawn), "{end:?}");
-    assert_eq!(account(&engines), (0, 0));
+    assert_eq!(started_and_cancelled(&engines), (0, 0));
 }
 
 #[tokio::test]
@@ -130,5 +130,5 @@
     let (end, ()) = tokio::join!(run, cancel);
 
     assert!(matches!(end, AttemptEnd::Stopped), "{end:?}");
-    assert_eq!(account(&engines), (1, 1));
+    assert_eq!(started_and_cancelled(&engines), (1, 1));
 }
--- a/crates/tinbank-batch/tests/claims.rs
+++ b/crates/tinbank-batch/tests/claims.rs
@@ -1,10 +1,10 @@
-//! Owners of shards keep the claims of online requests that run at most once.
+//! Shard owners store the claims of online requests that run at most once.
 
 mod support;
 
 use std::time::{Duration, Instant, SystemTime};
 
-use support::{Host, LAGGING, SHARDS, World};
+use support::{Host, LAGGING_HOST, SHARDS, World};
 use tinbank_base::{
     frame::request::{Claimed, Request, Response},
     id,
@@ -34,7 +34,7 @@
     }
 }
 
-/// The answer of the first host that follows the claim's shard.
+/// Returns the answer of the first host that follows the claim's shard.
 async fn ask(world: &World, hosts: &[Host], request: Request) -> Response {
     let until = Instant::now() + Duration::from_secs(30);
     while Instant::now() < until {
@@ -51,7 +51,7 @@
 }
 
 #[tokio::test]
-async fn a_claimed_request_runs_once_and_its_answer_is_kept() {
+async fn a_claimed_request_runs_once_and_its_answer_is_stored() {
     let world = World::new();
     let mut hosts = vec![world.start(1), world.start(2)];
     let first = claim(1, 7);
@@ -82,11 +82,11 @@
     );
 }
 
-/// Found by the test above, one run in some: the host that was left had not read the settlement yet.
+/// Guards against a follower that answers `Running` because it has not read the settlement yet.
 #[tokio::test]
-async fn a_host_that_lags_does_not_say_that_a_settled_claim_still_runs() {
+async fn a_lagging_host_does_not_report_a_settled_claim_as_running() {
     let world = World::new();
-    let hosts = [world.start(1), world.start(LAGGING)];
+    let hosts = [world.start(1), world.start(LAGGING_HOST)];
     let (ahead, lagging) = hosts.split_at(1);
     let first = claim(1, 7);
     let settled = Settled {
--- a/crates/tinbank-batch/tests/faults.rs
+++ b/crates/tinbank-batch/tests/faults.rs
@@ -1,11 +1,11 @@
-//! What becomes of jobs when the log fails, forgets or loses answers, and when engines are wanted for online requests.
+//! Jobs under log outages, lost log responses, trimmed logs, stalled reads, and withdrawal in favour of online requests.
 
 mod support;
 
 use std::{collections::BTreeSet, time::Duration};
 
 use support::{
-    APPEND_TIMEOUT, Host, LAGGING, SHARDS, World, engines::LARGE, eventually, line, lines,
+    APPEND_TIMEOUT, Host, LAGGING_HOST, SHARDS, World, engines::LARGE, eventually, line, lines,
 };
 use tinbank_base::{
     id,
@@ -21,8 +21,8 @@
     (world, hosts)
 }
 
-/// The names of a job's items that have an answer; fails if one comes twice.
-fn answered(reply: &support::session::Reply) -> BTreeSet<String> {
+/// Returns the `custom_id`s of a job's items; panics on duplicates and on items without an answer.
+fn answered_names(reply: &support::session::Reply) -> BTreeSet<String> {
     let mut names = BTreeSet::new();
     for item in reply.lines() {
         assert_eq!(item["state"], "answered", "{item}");
@@ -33,33 +33,33 @@
 }
 
 #[tokio::test]
-async fn items_assigned_before_an_outage_go_on_and_are_not_run_again() {
+async fn items_assigned_before_an_outage_continue_and_do_not_run_again() {
     let (world, hosts) = world_of(2);
     let caller = hosts[0].session("key-moreton");
     world.engines.hold();
-    let id = caller.accepted(None, lines(0, 200)).await;
+    let id = caller.submit_accepted(None, lines(0, 200)).await;
     eventually("items are in the engines", || async {
         world.engines.starts() > 0
     })
     .await;
 
     world.log.outage(true);
-    world.engines.go_on();
+    world.engines.resume();
     eventually("the assigned items have run", || async {
         world.engines.starts() == 200
     })
     .await;
-    // Long enough for appends to fail for good, so that their completions have to be appended anew.
+    // Longer than the append timeout, so that completions have to be appended again.
     tokio::time::sleep(APPEND_TIMEOUT * 2).await;
     world.log.outage(false);
-    caller.until(&id, "completed").await;
+    caller.wait_for_state(&id, "completed").await;
 
-    assert_eq!(answered(&caller.results(&id).await).len(), 200);
+    assert_eq!(answered_names(&caller.results(&id).await).len(), 200);
     assert_eq!(world.engines.starts(), 200);
 }
 
 #[tokio::test]
-async fn lost_answers_of_the_log_neither_lose_nor_double_an_item() {
+async fn lost_log_responses_neither_lose_nor_duplicate_items() {
     let (world, hosts) = world_of(2);
     let caller = hosts[0].session("key-moreton");
     for fault in [
@@ -71,7 +71,7 @@
         world.log.fault_next_append(fault);
     }
 
-    let id = caller.accepted(Some("sweep"), lines(0, 600)).await;
+    let id = caller.submit_accepted(Some("sweep"), lines(0, 600)).await;
     for fault in [
         Fault::LostBefore,
         Fault::LostAfter,
@@ -80,9 +80,9 @@
     ] {
         world.log.fault_next_append(fault);
     }
-    caller.until(&id, "completed").await;
+    caller.wait_for_state(&id, "completed").await;
 
-    assert_eq!(answered(&caller.results(&id).await).len(), 600);
+    assert_eq!(answered_names(&caller.results(&id).await).len(), 600);
     assert_eq!(
         caller
             .submit(Some("sweep"), lines(0, 600))
@@ -93,12 +93,12 @@
 }
 
 #[tokio::test]
-async fn a_host_that_lags_does_not_answer_for_a_job_that_has_ended() {
+async fn a_lagging_host_does_not_answer_for_an_ended_job() {
     let (world, hosts) = world_of(2);
     let caller = hosts[0].session("key-moreton");
-    let id = caller.accepted(None, lines(0, 10)).await;
-    caller.until(&id, "completed").await;
-    eventually("all leases are given back", || async {
+    let id = caller.submit_accepted(None, lines(0, 10)).await;
+    caller.wait_for_state(&id, "completed").await;
+    eventually("all leases are released", || async {
         holders(&world).is_empty()
     })
     .await;
@@ -106,11 +106,11 @@
 
     let mut counts = Vec::new();
     for job in 1..5 {
-        // The keys fix the jobs' shards, so that some of them have the lagging host first in rank.
+        // The keys determine the jobs' shards; the lagging host ranks first for some of them.
         let key = format!("job-{job}");
-        let id = caller.accepted(Some(&key), lines(job * 100, 10)).await;
-        caller.until(&id, "completed").await;
-        counts.push(answered(&caller.results(&id).await).len());
+        let id = caller.submit_accepted(Some(&key), lines(job * 100, 10)).await;
+        caller.wait_for_state(&id, "completed").await;
+        counts.push(answered_names(&caller.results(&id).await).len());
     }
     world.frozen.send_replace(false);
 
@@ -118,14 +118,15 @@
 }
 
 #[tokio::test]
-async fn a_holder_whose_reads_hang_is_followed_by_another() {
+async fn a_lease_holder_with_stalled_reads_is_replaced() {
     let (world, hosts) = world_of(2);
     let caller = hosts[0].session("key-moreton");
     world.engines.hold();
-    // A host that is slow to begin finds all leases taken, and gets its own only from a holder that has nothing in an engine.
+    // Keep the engines empty until both hosts hold leases: a host that starts late receives a lease only from a holder with
+    // no items in flight.
     world.gate.withdraw();
-    // More chunks than a holder takes in hand, so that it can't end them without reading more.
-    let id = caller.accepted(Some("sweep"), lines(0, 4_096)).await;
+    // More chunks than a holder loads ahead, so that it cannot complete the job without further reads.
+    let id = caller.submit_accepted(Some("sweep"), lines(0, 4_096)).await;
     eventually("both hosts hold leases", || async {
         let holders = holders(&world);
         holders.contains(&1) && holders.contains(&2)
@@ -142,14 +143,14 @@
     .await;
 
     world.frozen.send_replace(true);
-    world.engines.go_on();
-    caller.until(&id, "completed").await;
+    world.engines.resume();
+    caller.wait_for_state(&id, "completed").await;
 
-    assert_eq!(answered(&caller.results(&id).await).len(), 4_096);
-    assert!(!holders(&world).contains(&LAGGING));
+    assert_eq!(answered_names(&caller.results(&id).await).len(), 4_096);
+    assert!(!holders(&world).contains(&LAGGING_HOST));
 }
 
-/// The hosts that hold leases now, by a fold of their own.
+/// Returns the hosts that hold leases now, computed from the log.
 fn holders(world: &World) -> BTreeSet<id::Host> {
     let holder = |shard| {
         let mut lease = Lease::default();
@@ -168,11 +169,11 @@
 }
 
 #[tokio::test]
-async fn batch_gives_way_and_resumes_where_it_was() {
+async fn withdrawn_items_resume_from_the_received_tokens() {
     let (world, hosts) = world_of(1);
     let caller = hosts[0].session("key-moreton");
     world.engines.hold();
-    let id = caller.accepted(None, lines(0, 10)).await;
+    let id = caller.submit_accepted(None, lines(0, 10)).await;
     eventually("all are in the engines", || async {
         world.engines.starts() == 10
     })
@@ -180,17 +181,17 @@
 
     world.gate.withdraw();
     eventually("all are cancelled at the engines", || async {
-        world.engines.read(|account| account.cancelled.len()) == 10
+        world.engines.read(|call_log| call_log.cancelled.len()) == 10
     })
     .await;
-    world.engines.go_on();
+    world.engines.resume();
     world.gate.reopen();
-    caller.until(&id, "completed").await;
+    caller.wait_for_state(&id, "completed").await;
 
-    assert_eq!(answered(&caller.results(&id).await).len(), 10);
-    assert_eq!(world.engines.read(|account| account.resumed.len()), 10);
+    assert_eq!(answered_names(&caller.results(&id).await).len(), 10);
+    assert_eq!(world.engines.read(|call_log| call_log.resumed.len()), 10);
     assert_eq!(
-        hosts[0].story(4),
+        hosts[0].item_events(4),
         ["routed", "preempted", "routed", "resumed", "completed"]
     );
     let item = caller.item(&id, "item-4").await;
@@ -201,32 +202,32 @@
 }
 
 #[tokio::test]
-async fn results_outlive_the_records_that_held_them() {
-    results_outlive_their_records(lines(0, 300), 300).await;
+async fn results_are_carried_forward_before_the_log_is_trimmed() {
+    check_results_after_trim(lines(0, 300), 300).await;
 }
 
 #[tokio::test]
-async fn results_too_large_for_one_record_outlive_the_records_that_held_them() {
+async fn results_too_large_for_one_record_are_carried_forward() {
     let lines: String = (0..100)
         .map(|item| line(&format!("item-{item}"), &format!("{LARGE} {item}")))
         .collect();
 
-    results_outlive_their_records(lines, 100).await;
+    check_results_after_trim(lines, 100).await;
 }
 
-async fn results_outlive_their_records(lines: String, items: usize) {
+async fn check_results_after_trim(lines: String, items: usize) {
     let world = World {
         retention: Duration::from_secs(2),
         ..World::new()
     };
     let mut first = world.start(1);
     let caller = first.session("key-moreton");
-    let id = caller.accepted(Some("sweep"), lines.clone()).await;
-    caller.until(&id, "completed").await;
+    let id = caller.submit_accepted(Some("sweep"), lines.clone()).await;
+    caller.wait_for_state(&id, "completed").await;
     let tails: Vec<id::Offset> = (0..SHARDS).map(|shard| tail(&world, shard)).collect();
 
-    eventually("what is old is carried forward", || async {
-        (0..SHARDS).all(|shard| is_kept(&world, shard, tails[usize::from(shard)]))
+    eventually("old records are carried forward", || async {
+        (0..SHARDS).all(|shard| is_carried_forward(&world, shard, tails[usize::from(shard)]))
     })
     .await;
     for (shard, tail) in (0..SHARDS).zip(&tails) {
@@ -237,7 +238,7 @@
     let caller = second.session("key-moreton");
 
     assert_eq!(caller.status(&id).await.json()["counts"]["answered"], items);
-    assert_eq!(answered(&caller.results(&id).await).len(), items);
+    assert_eq!(answered_names(&caller.results(&id).await).len(), items);
     assert_eq!(
         caller
             .submit(Some("sweep"), lines.clone())
@@ -253,8 +254,9 @@
     last.map_or(0, |entry| entry.offset + 1)
 }
 
-/// Whether a whole checkpoint stands after an offset, which is only written when all chunks before are carried.
-fn is_kept(world: &World, shard: id::Shard, before: id::Offset) -> bool {
+/// Returns whether there is a complete checkpoint covering the records before an offset, which is written only once all
+/// chunks before it are carried.
+fn is_carried_forward(world: &World, shard: id::Shard, before: id::Offset) -> bool {
     let envelopes: Vec<Envelope<Record>> = world.log.envelopes(Stream::Work(shard));
     let records = envelopes.iter().flat_map(|envelope| &envelope.records);
     let mut whole = records.filter_map(|record| match record {
--- a/crates/tinbank-batch/tests/servers.rs
+++ b/crates/tinbank-batch/tests/servers.rs
@@ -1,4 +1,4 @@
-//! Whole batch processes, with membership, peers, admission control and the configuration stream, over a log in memory.
+//! Whole batch processes with membership, peers, admission control and the configuration stream, over an in-memory log.
 
 mod support;
 
@@ -33,10 +33,10 @@
 const KEY_DIGEST: &str = "85e6ac05137fbd6924777c5d17c0b074075f57b9115624bd54a374c47177cfa4";
 
 #[derive(Debug)]
-struct Listed;
+struct FixedHosts;
 
 #[async_trait]
-impl Hosts for Listed {
+impl Hosts for FixedHosts {
     async fn list(&self) -> Result<List, hosts::Error> {
         let upstreams = (0..ENGINES).map(|upstream| Upstream {
             upstream,
@@ -58,10 +58,10 @@
 }
 
 #[derive(Debug)]
-struct Empty;
+struct NoWeights;
 
 #[async_trait]
-impl Weights for Empty {
+impl Weights for NoWeights {
     async fn ticket(&self, artifact: &Artifact) -> Result<Ticket, weights::Error> {
         Err(weights::Error::Missing(artifact.model.clone()))
     }
@@ -70,13 +70,13 @@
 fn platform(log: &Memory, engines: &Engines) -> Platform {
     Platform {
         log: Arc::new(log.clone()),
-        hosts: Arc::new(Listed),
-        weights: Arc::new(Empty),
+        hosts: Arc::new(FixedHosts),
+        weights: Arc::new(NoWeights),
         upstreams: Arc::new(engines.clone()),
     }
 }
 
-/// A log that holds a template and a customer.
+/// Returns a log with a template and a customer.
 fn configured() -> Memory {
     let template = serde_json::json!({
         "services": {"notes": {
@@ -138,7 +138,7 @@
     let servers = vec![first, second, third];
     for server in &servers {
         let session = Session::new(server.http_address(), KEY);
-        eventually("all know each other", || async {
+        eventually("all members are known to each other", || async {
             let members = session.get("/members").await.json();
             let ready = members.as_array().unwrap().iter();
             ready.filter(|member| member["phase"] == "ready").count() == 3
@@ -149,7 +149,7 @@
 }
 
 #[tokio::test]
-async fn a_job_outlives_the_host_that_runs_it() {
+async fn a_job_completes_after_its_host_is_lost() {
     let (log, engines) = (configured(), Engines::new(ENGINES));
     let mut servers = start_three(&log, &engines).await;
     let sessions: Vec<Session> = servers
@@ -157,7 +157,7 @@
         .map(|server| Session::new(server.http_address(), KEY))
         .collect();
     engines.hold();
-    let id = sessions[0].accepted(Some("sweep"), lines(0, 300)).await;
+    let id = sessions[0].submit_accepted(Some("sweep"), lines(0, 300)).await;
     eventually("items are in the engines", || async {
         engines.starts() > 0
     })
@@ -165,12 +165,12 @@
 
     let owner = owner_of(&servers).unwrap();
     servers.remove(owner).kill();
-    engines.go_on();
+    engines.resume();
     let survivors: Vec<Session> = servers
         .iter()
         .map(|server| Session::new(server.http_address(), KEY))
         .collect();
-    survivors[0].until(&id, "completed").await;
+    survivors[0].wait_for_state(&id, "completed").await;
 
     for survivor in survivors {
         let results = survivor.results(&id).await;
@@ -181,7 +181,7 @@
     }
 }
 
-/// The server that took a lease last, by the servers' time lines.
+/// Returns the first server whose timeline shows that it took a lease.
 fn owner_of(servers: &[Server]) -> Option<usize> {
     servers.iter().position(|server| {
         let events = server.recorder().since(std::time::UNIX_EPOCH).events;
@@ -192,11 +192,11 @@
 }
 
 #[tokio::test]
-async fn a_stop_hands_its_work_on() {
+async fn a_stopped_server_hands_over_its_work() {
     let (log, engines) = (configured(), Engines::new(ENGINES));
     let mut servers = start_three(&log, &engines).await;
     let last = Session::new(servers[2].http_address(), KEY);
-    let id = last.accepted(None, lines(0, 2_000)).await;
+    let id = last.submit_accepted(None, lines(0, 2_000)).await;
     eventually("items are in the engines", || async {
         engines.starts() > 0
     })
@@ -204,11 +204,11 @@
 
     servers.remove(0).stop().await;
     servers.remove(0).stop().await;
-    last.until(&id, "completed").await;
+    last.wait_for_state(&id, "completed").await;
 
     assert_eq!(last.results(&id).await.lines().len(), 2_000);
     assert_eq!(engines.starts(), 2_000, "a planned stop ran items again");
     tokio::time::timeout(Duration::from_secs(30), servers.remove(0).stop())
         .await
-        .expect("the last one stops as well");
+        .expect("the last server did not stop in time");
 }
--- a/crates/tinbank-batch/tests/session.rs
+++ b/crates/tinbank-batch/tests/session.rs
@@ -1,4 +1,4 @@
-//! What a caller sees of batch jobs, over real HTTP.
+//! Batch jobs as seen by a caller over real HTTP.
 
 mod support;
 
@@ -8,8 +8,8 @@
 use support::{Host, ORDERS, PENDING_ITEMS, World, engines, eventually, line, lines};
 use tinbank_base::record::work::Record;
 
-/// How each item of a job ended, by its name; fails if one comes twice.
-fn by_name(reply: &support::session::Reply) -> BTreeMap<String, String> {
+/// Returns the state of each item by `custom_id`; panics on duplicates.
+fn states_by_name(reply: &support::session::Reply) -> BTreeMap<String, String> {
     let mut states = BTreeMap::new();
     for item in reply.lines() {
         let name = item["custom_id"].as_str().unwrap().to_owned();
@@ -26,15 +26,15 @@
 }
 
 #[tokio::test]
-async fn a_job_is_taken_in_run_and_read_at_another_host() {
+async fn a_job_accepted_by_one_host_can_be_read_at_another() {
     let (world, hosts) = world_of(2);
     let (first, second) = (
         hosts[0].session("key-moreton"),
         hosts[1].session("key-moreton"),
     );
 
-    let id = first.accepted(None, lines(0, 700)).await;
-    second.until(&id, "completed").await;
+    let id = first.submit_accepted(None, lines(0, 700)).await;
+    second.wait_for_state(&id, "completed").await;
 
     let status = second.status(&id).await;
     assert_eq!(status.json()["counts"]["answered"], 700);
@@ -44,18 +44,18 @@
         item.text("/response/choices/0/message/content"),
         "noted: note 600"
     );
-    assert_eq!(by_name(&second.results(&id).await).len(), 700);
+    assert_eq!(states_by_name(&second.results(&id).await).len(), 700);
     assert_eq!(world.engines.starts(), 700);
 }
 
 #[tokio::test]
-async fn a_resend_gets_the_same_job_and_another_body_is_refused() {
+async fn a_resend_returns_the_same_job_and_a_different_body_is_rejected() {
     let (world, hosts) = world_of(2);
     let (first, second) = (
         hosts[0].session("key-moreton"),
         hosts[1].session("key-moreton"),
     );
-    let id = first.accepted(Some("sweep-1"), lines(0, 3)).await;
+    let id = first.submit_accepted(Some("sweep-1"), lines(0, 3)).await;
 
     let again = second.submit(Some("sweep-1"), lines(0, 3)).await;
     let other = second.submit(Some("sweep-1"), lines(0, 4)).await;
@@ -73,13 +73,13 @@
     );
     assert_eq!(foreign.status, StatusCode::CREATED);
     assert_ne!(foreign.text("/id"), id);
-    first.until(&id, "completed").await;
-    neighbour.until(&foreign.text("/id"), "completed").await;
+    first.wait_for_state(&id, "completed").await;
+    neighbour.wait_for_state(&foreign.text("/id"), "completed").await;
     assert_eq!(world.engines.starts(), 6);
 }
 
 #[tokio::test]
-async fn two_hosts_that_take_in_one_job_at_once_make_one_job() {
+async fn concurrent_submissions_with_one_key_at_two_hosts_create_one_job() {
     let (world, hosts) = world_of(2);
     let (first, second) = (
         hosts[0].session("key-moreton"),
@@ -96,13 +96,13 @@
     assert_eq!(statuses, expected, "{one:?} {other:?}");
     assert_eq!(one.text("/id"), other.text("/id"));
     let id = one.text("/id");
-    first.until(&id, "completed").await;
-    assert_eq!(by_name(&second.results(&id).await).len(), 300);
+    first.wait_for_state(&id, "completed").await;
+    assert_eq!(states_by_name(&second.results(&id).await).len(), 300);
     assert_eq!(world.engines.starts(), 300);
 }
 
 #[tokio::test]
-async fn a_customer_may_have_so_many_pending_items_over_all_hosts() {
+async fn the_limit_of_pending_items_holds_over_all_hosts() {
     let (world, hosts) = world_of(2);
     let (first, second) = (
         hosts[0].session("key-limited"),
@@ -111,7 +111,7 @@
     world.engines.hold();
     let most = PENDING_ITEMS as usize;
     let too_large = first.submit(Some("large"), lines(0, most + 1)).await;
-    let id = first.accepted(None, lines(0, most - 40)).await;
+    let id = first.submit_accepted(None, lines(0, most - 40)).await;
     eventually("items of the job run, so that all are counted", || async {
         world.engines.starts() > 0
     })
@@ -122,10 +122,10 @@
         .session("key-moreton")
         .submit(None, lines(0, 41))
         .await;
-    let rest = second.accepted(None, lines(0, 40)).await;
-    world.engines.go_on();
-    first.until(&id, "completed").await;
-    first.until(&rest, "completed").await;
+    let rest = second.submit_accepted(None, lines(0, 40)).await;
+    world.engines.resume();
+    first.wait_for_state(&id, "completed").await;
+    first.wait_for_state(&rest, "completed").await;
     let again = second.submit(Some("over"), lines(0, 41)).await;
 
     for refused in [too_large, over] {
@@ -143,7 +143,7 @@
 }
 
 #[tokio::test]
-async fn a_bad_line_leaves_nothing_behind() {
+async fn an_invalid_line_rejects_the_whole_job() {
     let (world, hosts) = world_of(1);
     let caller = hosts[0].session("key-moreton");
     let body = format!("{}{}", lines(0, 20_000), line("item-7", "again"));
@@ -159,16 +159,16 @@
     let of = |wanted: fn(&Record) -> bool| records.iter().filter(|record| wanted(record)).count();
     assert!(of(|record| matches!(record, Record::Chunk(_))) > 0);
     assert_eq!(of(|record| matches!(record, Record::Head(_))), 0);
-    let id = caller.accepted(Some("sweep"), lines(0, 2)).await;
-    caller.until(&id, "completed").await;
+    let id = caller.submit_accepted(Some("sweep"), lines(0, 2)).await;
+    caller.wait_for_state(&id, "completed").await;
     assert_eq!(world.engines.starts(), 2, "chunks without a head ran");
 }
 
 #[tokio::test]
-async fn bad_requests_are_told_apart() {
+async fn invalid_requests_have_distinct_status_codes() {
     let (_world, hosts) = world_of(1);
     let caller = hosts[0].session("key-moreton");
-    let id = caller.accepted(None, lines(0, 1)).await;
+    let id = caller.submit_accepted(None, lines(0, 1)).await;
 
     let no_service = caller.submit_to("unknown", None, lines(0, 1)).await;
     let wrong_key = hosts[0]
@@ -206,11 +206,11 @@
 }
 
 #[tokio::test]
-async fn a_cancelled_job_stops_at_the_engines() {
+async fn a_cancelled_job_is_cancelled_at_the_engines() {
     let (world, hosts) = world_of(2);
     let caller = hosts[0].session("key-moreton");
     world.engines.hold();
-    let id = caller.accepted(None, lines(0, 200)).await;
+    let id = caller.submit_accepted(None, lines(0, 200)).await;
     eventually("items are in the engines", || async {
         world.engines.starts() > 0
     })
@@ -218,14 +218,14 @@
 
     let reply = hosts[1].session("key-moreton").cancel(&id).await;
     assert_eq!(reply.status, StatusCode::OK, "{reply:?}");
-    caller.until(&id, "cancelled").await;
+    caller.wait_for_state(&id, "cancelled").await;
 
     let started = world.engines.starts();
     eventually("all are cancelled at the engines", || async {
-        world.engines.read(|account| account.cancelled.len()) == started
+        world.engines.read(|call_log| call_log.cancelled.len()) == started
     })
     .await;
-    world.engines.go_on();
+    world.engines.resume();
     let counts = caller.status(&id).await.json()["counts"].clone();
     assert_eq!(
         (&counts["cancelled"], &counts["answered"]),
@@ -236,7 +236,7 @@
 }
 
 #[tokio::test]
-async fn items_that_can_never_be_done_end_without_hurting_others() {
+async fn failing_items_do_not_affect_others() {
     let (world, hosts) = world_of(1);
     let caller = hosts[0].session("key-moreton");
     let body = [
@@ -246,10 +246,10 @@
         line("cut", engines::CUT_ONCE),
     ];
 
-    let id = caller.accepted(None, body.concat()).await;
-    caller.until(&id, "completed").await;
+    let id = caller.submit_accepted(None, body.concat()).await;
+    caller.wait_for_state(&id, "completed").await;
 
-    let states = by_name(&caller.results(&id).await);
+    let states = states_by_name(&caller.results(&id).await);
     let answered = states.values().filter(|state| *state == "answered").count();
     assert_eq!(
         (answered, &*states["bad"], &*states["killer"]),
@@ -259,36 +259,36 @@
     assert_eq!(bad.text("/error/code"), "upstream_rejected");
     assert_eq!(caller.item(&id, "cut").await.json()["attempts"], 2);
     assert_eq!(
-        hosts[0].story(52),
+        hosts[0].item_events(52),
         ["routed", "retried", "routed", "resumed", "completed"]
     );
     assert_eq!(
         world
             .engines
-            .read(|account| account.resumed[engines::CUT_ONCE]),
+            .read(|call_log| call_log.resumed[engines::CUT_ONCE]),
         1
     );
     assert_eq!(
         world
             .engines
-            .read(|account| account.started[engines::POISON]),
+            .read(|call_log| call_log.started[engines::POISON]),
         3
     );
 }
 
 #[tokio::test]
-async fn a_lost_host_s_job_is_finished_by_another() {
+async fn another_host_completes_the_job_of_a_lost_host() {
     let (world, mut hosts) = world_of(3);
     let caller = hosts[0].session("key-moreton");
     world.engines.hold();
-    let id = caller.accepted(None, lines(0, 300)).await;
+    let id = caller.submit_accepted(None, lines(0, 300)).await;
 
     hosts[0].kill();
-    world.engines.go_on();
+    world.engines.resume();
     let survivor = hosts[1].session("key-moreton");
-    survivor.until(&id, "completed").await;
+    survivor.wait_for_state(&id, "completed").await;
 
-    let states = by_name(&survivor.results(&id).await);
+    let states = states_by_name(&survivor.results(&id).await);
     assert_eq!(states.len(), 300);
     assert!(states.values().all(|state| state == "answered"));
     let counts = survivor.status(&id).await.json()["counts"].clone();
@@ -296,7 +296,7 @@
 }
 
 #[tokio::test]
-async fn whichever_host_is_lost_each_item_ends_once_and_orders_run_at_most_once() {
+async fn after_any_host_is_lost_items_end_once_and_orders_run_at_most_once() {
     for lost in 0..3 {
         let (world, mut hosts) = world_of(3);
         let caller = hosts[(lost + 1) % 3].session("key-moreton");
@@ -309,14 +309,14 @@
         .await;
 
         hosts[lost].kill();
-        world.engines.go_on();
-        caller.until(&id, "completed").await;
+        world.engines.resume();
+        caller.wait_for_state(&id, "completed").await;
 
-        let states = by_name(&caller.results(&id).await);
+        let states = states_by_name(&caller.results(&id).await);
         assert_eq!(states.len(), 40);
         let most = world
             .engines
-            .read(|account| account.started.values().copied().max());
+            .read(|call_log| call_log.started.values().copied().max());
         assert_eq!(most, Some(1), "an order ran twice");
         for (name, state) in states {
             if state == "failed" {
@@ -328,7 +328,7 @@
 }
 
 #[tokio::test]
-async fn a_planned_stop_hands_the_job_on_and_reruns_no_order() {
+async fn a_planned_stop_hands_over_the_job_without_rerunning_orders() {
     let (world, mut hosts) = world_of(2);
     let caller = hosts[1].session("key-moreton");
     let reply = caller.submit_to(ORDERS, None, lines(0, 200)).await;
@@ -339,20 +339,20 @@
     .await;
 
     hosts[0].stop().await;
-    caller.until(&id, "completed").await;
+    caller.wait_for_state(&id, "completed").await;
 
-    let states = by_name(&caller.results(&id).await);
+    let states = states_by_name(&caller.results(&id).await);
     let answered = states.values().filter(|state| *state == "answered").count();
     assert_eq!(answered, 200, "a stopped host left orders behind");
     assert_eq!(world.engines.starts(), 200);
 }
 
 #[tokio::test]
-async fn without_the_log_a_job_is_refused_as_not_run() {
+async fn without_the_log_a_job_is_rejected_as_not_run() {
     let (world, hosts) = world_of(1);
     let caller = hosts[0].session("key-moreton");
-    let id = caller.accepted(Some("before"), lines(0, 2)).await;
-    caller.until(&id, "completed").await;
+    let id = caller.submit_accepted(Some("before"), lines(0, 2)).await;
+    caller.wait_for_state(&id, "completed").await;
     world.log.outage(true);
 
     let reply = caller.submit(Some("during"), lines(0, 2)).await;
@@ -363,5 +363,5 @@
         (reply.text("/code"), reply.text("/ran")),
         ("log_unavailable".into(), "no".into())
     );
-    caller.accepted(Some("during"), lines(0, 2)).await;
+    caller.submit_accepted(Some("during"), lines(0, 2)).await;
 }
--- a/crates/tinbank-batch/tests/support/engines.rs
+++ b/crates/tinbank-batch/tests/support/engines.rs
@@ -1,4 +1,4 @@
-//! Upstreams that answer by what the prompt says, and keep an account of what they ran.
+//! Fake upstreams that answer according to the prompt and record the calls.
 
 use std::{
     collections::HashMap,
@@ -21,32 +21,32 @@
 use tinbank_routing::choice::{Ask, Choice, Router, Ticket};
 use tokio::sync::watch;
 
-/// A prompt with this word takes its engine's answer down each time.
+/// A prompt with this word loses the connection in every attempt.
 pub const POISON: &str = "poison";
-/// A prompt with this word is refused as malformed.
+/// A prompt with this word is rejected as malformed.
 pub const MALFORMED: &str = "malformed";
-/// A prompt with this word is cut short the first time.
+/// A prompt with this word loses the connection in the first attempt.
 pub const CUT_ONCE: &str = "cut once";
-/// A prompt with this word gets an answer of [`LARGE_BYTES`] more.
+/// A prompt with this word gets an answer with [`LARGE_BYTES`] of padding.
 pub const LARGE: &str = "large";
-/// So that the answers of some dozen items are more than one append takes.
+/// Large enough that the answers of a few dozen items exceed one append.
 pub const LARGE_BYTES: usize = 32 << 10;
 
 #[derive(Clone, Debug)]
 pub struct Engines {
     count: id::Upstream,
     open: watch::Sender<bool>,
-    account: Arc<Mutex<Account>>,
+    call_log: Arc<Mutex<CallLog>>,
 }
 
-/// What was asked of all upstreams.
+/// The calls received by all upstreams.
 #[derive(Debug, Default)]
-pub struct Account {
-    /// How many times each prompt was started.
+pub struct CallLog {
+    /// Number of attempts for each prompt.
     pub started: HashMap<String, usize>,
-    /// Tokens that were resumed from, for each prompt.
+    /// Number of tokens that the last resumed attempt of each prompt started from.
     pub resumed: HashMap<String, u32>,
-    /// Requests that were cancelled.
+    /// Cancelled requests.
     pub cancelled: Vec<id::Request>,
 }
 
@@ -55,36 +55,36 @@
         Self {
             count,
             open: watch::channel(true).0,
-            account: Arc::default(),
+            call_log: Arc::default(),
         }
     }
 
-    /// Holds all answers before their end until [`Engines::go_on`].
+    /// Blocks all answers before their end until [`Engines::resume`].
     pub fn hold(&self) {
         self.open.send_replace(false);
     }
 
-    pub fn go_on(&self) {
+    pub fn resume(&self) {
         self.open.send_replace(true);
     }
 
-    /// How many times prompts were started, all together.
+    /// Returns the total number of attempts.
     pub fn starts(&self) -> usize {
-        self.read(|account| account.started.values().sum())
+        self.read(|call_log| call_log.started.values().sum())
     }
 
-    pub fn read<T>(&self, read: impl FnOnce(&Account) -> T) -> T {
-        read(&self.account.lock().unwrap())
+    pub fn read<T>(&self, read: impl FnOnce(&CallLog) -> T) -> T {
+        read(&self.call_log.lock().unwrap())
     }
 
     fn start(&self, call: &Call) -> (String, usize) {
         let body: serde_json::Value = serde_json::from_slice(&call.body).unwrap();
         let prompt = body["messages"][0]["content"].as_str().unwrap().to_owned();
-        let mut account = self.account.lock().unwrap();
+        let mut call_log = self.call_log.lock().unwrap();
         if call.resume_from > 0 {
-            account.resumed.insert(prompt.clone(), call.resume_from);
+            call_log.resumed.insert(prompt.clone(), call.resume_from);
         }
-        let count = account.started.entry(prompt.clone()).or_default();
+        let count = call_log.started.entry(prompt.clone()).or_default();
         *count += 1;
         (prompt, *count)
     }
@@ -128,7 +128,7 @@
         };
         let mut open = self.open.subscribe();
         let end = stream::once(async move {
-            // The sender lives as long as the world.
+            // The sender is never dropped before the world.
             let _ = open.wait_for(|open| *open).await;
             end
         });
@@ -138,14 +138,14 @@
     async fn call(&self, _target: Target, call: Call) -> Result<Bytes, Error> {
         let (prompt, run) = self.start(&call);
         let mut open = self.open.subscribe();
-        // The sender lives as long as the world.
+        // The sender is never dropped before the world.
         let _ = open.wait_for(|open| *open).await;
         let answer = serde_json::json!({"order": prompt, "run": run});
         Ok(answer.to_string().into())
     }
 
     async fn cancel(&self, _target: Target, request: id::Request) -> Result<(), Error> {
-        self.account.lock().unwrap().cancelled.push(request);
+        self.call_log.lock().unwrap().cancelled.push(request);
         Ok(())
     }
 
@@ -177,15 +177,15 @@
 
 /// Chooses the first engine that was not tried.
 #[derive(Debug)]
-pub struct Routes(pub Engines);
+pub struct FirstUntried(pub Engines);
 
-struct Silent;
+struct NoopTicket;
 
-impl Ticket for Silent {
+impl Ticket for NoopTicket {
     fn note(&self, _result: Result<(), &Error>, _now: Instant) {}
 }
 
-impl Router for Routes {
+impl Router for FirstUntried {
     fn choose(&self, ask: &Ask<'_>, _now: Instant) -> Result<Choice, Failure> {
         let mut untried = (0..self.0.count).filter(|upstream| !ask.tried.contains(upstream));
         let upstream = untried
@@ -197,7 +197,7 @@
                 address: SocketAddr::from((Ipv4Addr::LOCALHOST, 1)),
             },
             reason: "first",
-            ticket: Box::new(Silent),
+            ticket: Box::new(NoopTicket),
         })
     }
 }
--- a/crates/tinbank-batch/tests/support/gate.rs
+++ b/crates/tinbank-batch/tests/support/gate.rs
@@ -1,4 +1,4 @@
-//! A gate whose passes can be withdrawn, as for a burst of online requests.
+//! A gate whose passes can be withdrawn, to simulate a burst of online requests.
 
 use std::{
     sync::{Arc, Mutex},
@@ -10,9 +10,9 @@
 use tinbank_batch::runner::concurrency_gate::ConcurrencyGate;
 use tokio::sync::watch;
 
-/// Lets eight items into each engine, and none after [`Valve::withdraw`].
+/// Admits eight items to each engine, and none after [`WithdrawableGate::withdraw`].
 #[derive(Clone, Debug)]
-pub struct Valve {
+pub struct WithdrawableGate {
     gate: ConcurrencyGate,
     state: Arc<Mutex<State>>,
 }
@@ -20,10 +20,10 @@
 #[derive(Debug, Default)]
 struct State {
     closed: bool,
-    given: Vec<watch::Sender<bool>>,
+    passes: Vec<watch::Sender<bool>>,
 }
 
-impl Default for Valve {
+impl Default for WithdrawableGate {
     fn default() -> Self {
         Self {
             gate: ConcurrencyGate::new(8),
@@ -32,13 +32,13 @@
     }
 }
 
-impl Valve {
-    /// Takes back all passes and gives none.
+impl WithdrawableGate {
+    /// Withdraws all passes and admits no further items.
     pub fn withdraw(&self) {
         let mut state = self.state.lock().unwrap();
         state.closed = true;
-        for given in state.given.drain(..) {
-            given.send_replace(true);
+        for pass in state.passes.drain(..) {
+            pass.send_replace(true);
         }
     }
 
@@ -47,15 +47,15 @@
     }
 }
 
-impl Gate for Valve {
+impl Gate for WithdrawableGate {
     fn enter(&self, upstream: id::Upstream, customer: &str, now: Instant) -> Option<Pass> {
         let mut state = self.state.lock().unwrap();
         if state.closed {
             return None;
         }
         let pass = self.gate.enter(upstream, customer, now)?;
-        let (given, withdrawn) = watch::channel(false);
-        state.given.push(given);
+        let (withdraw, withdrawn) = watch::channel(false);
+        state.passes.push(withdraw);
         Some(Pass { withdrawn, ..pass })
     }
 
--- a/crates/tinbank-batch/tests/support/mod.rs
+++ b/crates/tinbank-batch/tests/support/mod.rs
@@ -1,10 +1,10 @@
-//! Hosts of a small deployment in one process: real HTTP on loopback and the real control loop, over a log in memory,
-//! fake upstreams and a fake network between the hosts.
+//! A small deployment in one process: real HTTP on loopback and the real control loop, over an in-memory log, fake
+//! upstreams and a fake network between the hosts.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 pub mod engines;
 pub mod gate;
-pub mod lag;
+pub mod stalling_log;
 pub mod net;
 pub mod session;
 
@@ -26,7 +26,7 @@
 };
 use tinbank_batch::{
     intake::Limits,
-    service::{Edges, Service},
+    service::{Environment, Service},
 };
 use tinbank_configuration::{
     limit::Limits as CustomerLimits,
@@ -40,33 +40,33 @@
 use tinbank_timeline::Recorder;
 use tokio::{runtime::Runtime, sync::watch};
 
-use engines::{Engines, Routes};
-use net::{Net, View};
+use engines::{Engines, FirstUntried};
+use net::{Net, NetDirectory};
 use session::Session;
 
 pub const SHARDS: id::Shard = 4;
 pub const SERVICE: &str = "notes";
-/// The host whose reads of the log can be held up.
-pub const LAGGING: id::Host = 2;
-/// Most pending items of the customer whose key is "key-limited".
+/// The host whose reads of the log can be stalled.
+pub const LAGGING_HOST: id::Host = 2;
+/// Limit of pending items of the customer with the key "key-limited".
 pub const PENDING_ITEMS: u32 = 100;
 pub const ORDERS: &str = "orders";
-/// How long hosts try an append before it has failed.
+/// Timeout of the hosts' appends.
 pub const APPEND_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What all hosts share.
+/// State shared by all hosts.
 pub struct World {
     pub log: Memory,
     pub engines: Engines,
     pub net: Net,
     pub configuration: Shared,
-    /// Lets items into engines.
-    pub gate: gate::Valve,
-    /// Holds up what the host [`LAGGING`] reads.
+    /// Admits items to engines.
+    pub gate: gate::WithdrawableGate,
+    /// Stalls reads of [`LAGGING_HOST`] while true.
     pub frozen: watch::Sender<bool>,
-    /// How long the hosts believe that the log keeps records.
+    /// Log retention configured at the hosts.
     pub retention: Duration,
-    /// Appends a second that each host takes for its share.
+    /// Append budget per second configured at each host.
     pub appends_per_second: f64,
 }
 
@@ -87,14 +87,14 @@
             engines: Engines::new(3),
             net: Net::default(),
             configuration: Arc::new(ArcSwap::from_pointee(configuration())),
-            gate: gate::Valve::default(),
+            gate: gate::WithdrawableGate::default(),
             frozen: watch::channel(false).0,
             retention: Duration::from_secs(3_600),
             appends_per_second: budget::Settings::default().fleet_per_second,
         }
     }
 
-    /// Starts a host and tells all hosts of it.
+    /// Starts a host and adds it to the membership.
     pub fn start(&self, host: id::Host) -> Host {
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(2)
@@ -112,10 +112,10 @@
             control: runtime.handle().clone(),
             traffic: runtime.handle().clone(),
         };
-        let edges = self.edges(writer, handles);
-        let recorder = edges.recorder.clone();
+        let environment = self.environment(writer, handles);
+        let recorder = environment.recorder.clone();
         let loopback = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        let service = Service::start(edges, Listen::plain(loopback)).unwrap();
+        let service = Service::start(environment, Listen::plain(loopback)).unwrap();
         let address = service.http.local_addr();
         self.net
             .join(member(writer, address), service.answerer.clone());
@@ -129,7 +129,7 @@
         }
     }
 
-    /// All records of all work shards, each envelope once.
+    /// Returns all records of all work shards, counting each envelope once.
     pub fn records(&self) -> Vec<work::Record> {
         let shards = (0..SHARDS).map(Stream::Work);
         let envelopes: Vec<Envelope<work::Record>> = shards
@@ -141,30 +141,30 @@
             .collect()
     }
 
-    fn edges(&self, me: Writer, handles: Handles) -> Edges {
+    fn environment(&self, me: Writer, handles: Handles) -> Environment {
         let flag = Flag::new();
         flag.ready();
-        Edges {
+        Environment {
             me,
             shards: SHARDS,
             terms: terms(),
             followers: 2,
             retention: self.retention,
-            intakes: 4,
+            max_concurrent_intakes: 4,
             items_at_once: 64,
-            plain_at_once: 8,
+            max_plain_calls: 8,
             limits: Limits::default(),
-            log: Arc::new(lag::Lag {
+            log: Arc::new(stalling_log::StallingLog {
                 log: self.log.clone(),
                 frozen: match me.process.host {
-                    LAGGING => self.frozen.subscribe(),
+                    LAGGING_HOST => self.frozen.subscribe(),
                     _ => watch::channel(false).1,
                 },
             }),
             upstreams: Arc::new(self.engines.clone()),
             writer: writer::Settings {
                 append_timeout: APPEND_TIMEOUT,
-                // As with the defaults, a try fits into the timeout whatever the backoff.
+                // Leaves time for a retry within the timeout after the longest backoff, like the defaults.
                 group: group::Settings {
                     backoff_longest: APPEND_TIMEOUT / 5,
                     budget: budget::Settings {
@@ -176,11 +176,11 @@
                 ..writer::Settings::default()
             },
             writers: watch::channel(1).1,
-            directory: Arc::new(View(self.net.clone())),
+            directory: Arc::new(NetDirectory(self.net.clone())),
             peers: Arc::new(self.net.clone()),
             configuration: self.configuration.clone(),
             follower: None,
-            router: Arc::new(Routes(self.engines.clone())),
+            router: Arc::new(FirstUntried(self.engines.clone())),
             gate: Arc::new(self.gate.clone()),
             credits: None,
             recorder: Recorder::new(me.process, 1_024).with_incarnation(me.incarnation),
@@ -191,13 +191,13 @@
 }
 
 impl Host {
-    /// A caller with the key of a customer.
+    /// Creates a client with the key of a customer.
     pub fn session(&self, key: &'static str) -> Session {
         Session::new(self.address, key)
     }
 
-    /// Events of the attempts at an item, and of its end, by name.
-    pub fn story(&self, item: id::Item) -> Vec<String> {
+    /// Returns the names of the timeline events of an item.
+    pub fn item_events(&self, item: id::Item) -> Vec<String> {
         let query = tinbank_timeline::Query {
             item: Some(item),
             ..Default::default()
@@ -215,15 +215,15 @@
             .collect()
     }
 
-    /// Ends the host like a lost machine: nothing is released, nobody is told.
+    /// Stops the host like a lost machine: leases are not released and peers are not notified.
     pub fn kill(&mut self) {
-        self.net.lose(self.writer);
+        self.net.mark_dead(self.writer);
         if let Some(runtime) = self.runtime.take() {
             runtime.shutdown_background();
         }
     }
 
-    /// Stops the host in an orderly way.
+    /// Stops the host gracefully.
     pub async fn stop(&mut self) {
         self.net.leave(self.writer);
         if let Some(service) = self.service.take() {
@@ -249,7 +249,7 @@
         writer,
         health: Health::Alive,
         phase: Phase::Ready,
-        // The fake network goes by the HTTP address.
+        // The fake network identifies hosts by their HTTP address.
         peer: http,
         http,
         failure_domain: "local".to_owned(),
@@ -257,7 +257,7 @@
     }
 }
 
-/// Short terms, so that takeovers don't make the tests slow; no test depends on their length.
+/// Short lease timing, to keep takeovers fast; no test depends on the exact values.
 fn terms() -> Terms {
     Terms {
         silence: Duration::from_millis(600),
@@ -304,7 +304,7 @@
     (key, Arc::new(customer))
 }
 
-/// A customer with a limit of [`PENDING_ITEMS`].
+/// Creates a customer with a limit of [`PENDING_ITEMS`].
 fn limited(name: &str, key: &'static str) -> (&'static str, Arc<Customer>) {
     let (key, customer) = customer(name, key);
     let limits = CustomerLimits {
@@ -331,14 +331,14 @@
     }
 }
 
-/// A body of items `first..first + count`.
+/// Returns a body with the items `first..first + count`.
 pub fn lines(first: usize, count: usize) -> String {
     (first..first + count)
         .map(|item| line(&format!("item-{item}"), &format!("note {item}")))
         .collect()
 }
 
-/// One line of a body.
+/// Returns one line of a body.
 pub fn line(custom_id: &str, content: &str) -> String {
     let line = serde_json::json!({
         "custom_id": custom_id,
@@ -347,7 +347,7 @@
     format!("{line}\n")
 }
 
-/// Waits until something holds.
+/// Waits until a condition holds; panics after a timeout.
 pub async fn eventually<F: Future<Output = bool>>(what: &str, mut holds: impl FnMut() -> F) {
     for _ in 0..1_500 {
         if holds().await {
@@ -355,5 +355,5 @@
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    panic!("never: {what}");
+    panic!("condition not reached: {what}");
 }
--- a/crates/tinbank-batch/tests/support/net.rs
+++ b/crates/tinbank-batch/tests/support/net.rs
@@ -1,4 +1,4 @@
-//! The network between the hosts, and what they believe of each other.
+//! A fake network between the hosts, with one membership view shared by all.
 
 use std::{
     collections::HashMap,
@@ -40,8 +40,8 @@
         state.members = Arc::new(Members { members });
     }
 
-    /// The host is dead, and all know it.
-    pub fn lose(&self, writer: Writer) {
+    /// Marks the host as dead for all hosts and disconnects it.
+    pub fn mark_dead(&self, writer: Writer) {
         self.change(writer, |member| member.health = Health::Dead);
         let mut state = self.state.lock().unwrap();
         let members = state.members.clone();
@@ -52,7 +52,7 @@
         state.answerers.remove(&lost.unwrap().peer);
     }
 
-    /// The host is leaving, and all know it.
+    /// Marks the host as leaving for all hosts.
     pub fn leave(&self, writer: Writer) {
         self.change(writer, |member| member.phase = Phase::Leaving);
     }
@@ -91,9 +91,9 @@
 }
 
 #[derive(Debug)]
-pub struct View(pub Net);
+pub struct NetDirectory(pub Net);
 
-impl Directory for View {
+impl Directory for NetDirectory {
     fn members(&self) -> Arc<Members> {
         self.0.state.lock().unwrap().members.clone()
     }
--- a/crates/tinbank-batch/tests/support/session.rs
+++ b/crates/tinbank-batch/tests/support/session.rs
@@ -1,4 +1,4 @@
-//! A caller's session over HTTP.
+//! An HTTP client of one caller.
 
 use std::net::SocketAddr;
 
@@ -17,7 +17,6 @@
     key: &'static str,
 }
 
-/// An answer.
 #[derive(Debug)]
 pub struct Reply {
     pub status: StatusCode,
@@ -29,7 +28,7 @@
         serde_json::from_slice(&self.body).unwrap()
     }
 
-    /// The value at a JSON pointer, as text.
+    /// Returns the string at a JSON pointer.
     pub fn text(&self, pointer: &str) -> String {
         let json = self.json();
         let value = json.pointer(pointer);
@@ -69,8 +68,8 @@
         self.send(Method::POST, &path, key, body.into()).await
     }
 
-    /// Submits a job that is taken in, and gives its id.
-    pub async fn accepted(&self, key: Option<&str>, body: impl Into<Bytes>) -> String {
+    /// Submits a job that has to be accepted, and returns its ID.
+    pub async fn submit_accepted(&self, key: Option<&str>, body: impl Into<Bytes>) -> String {
         let reply = self.submit(key, body).await;
         assert_eq!(reply.status, StatusCode::CREATED, "{reply:?}");
         reply.text("/id")
@@ -95,7 +94,7 @@
     }
 
     /// Waits until the job is in a state.
-    pub async fn until(&self, id: &str, state: &str) {
+    pub async fn wait_for_state(&self, id: &str, state: &str) {
         eventually(&format!("batch is {state}"), || async {
             let reply = self.status(id).await;
             reply.status == StatusCode::OK && reply.text("/state") == state
--- a/crates/tinbank-batch/tests/support/lag.rs
+++ b/crates/tinbank-batch/tests/support/stalling_log.rs
@@ -1,4 +1,4 @@
-//! A log whose reads can be held up for one host.
+//! A log whose reads can be stalled for one host.
 
 use std::time::Instant;
 
@@ -12,13 +12,13 @@
 use tokio::sync::watch;
 
 #[derive(Clone, Debug)]
-pub struct Lag {
+pub struct StallingLog {
     pub log: Memory,
     pub frozen: watch::Receiver<bool>,
 }
 
 #[async_trait]
-impl Log for Lag {
+impl Log for StallingLog {
     async fn append(&self, stream: Stream, payload: Bytes) -> Result<id::Offset, Error> {
         self.log.append(stream, payload).await
     }
@@ -31,7 +31,7 @@
         until: Instant,
     ) -> Result<Page, Error> {
         let page = self.log.read(stream, from, limit, until).await;
-        // Without its sender the world has ended.
+        // An error means that the sender was dropped with the world.
         let _ = self.frozen.clone().wait_for(|frozen| !frozen).await;
         page
     }
