--- a/crates/tinbank-batch/src/owner/active_items.rs
+++ b/crates/tinbank-batch/src/owner/active_items.rs
@@ -34,8 +34,8 @@
 
 impl ActiveChunk {
     fn is_done(&self, now: Instant) -> bool {
-        let resting = self.until.is_some_and(|until| now < until);
-        self.running.is_empty() && self.ended.is_empty() && !resting
+        let waiting = self.until.is_some_and(|until| now < until);
+        self.running.is_empty() && self.ended.is_empty() && !waiting
     }
 }
 
--- a/crates/tinbank-batch/src/owner/appends.rs
+++ b/crates/tinbank-batch/src/owner/appends.rs
@@ -30,7 +30,7 @@
     }
 
     /// Appends the due records that the owner of the shard has to write to it and to other shards.
-    pub(super) fn do_duties(&mut self, shard: id::Shard, now: Instant) {
+    pub(super) fn append_duties(&mut self, shard: id::Shard, now: Instant) {
         let me = self.deps.me;
         let Some(followed) = self.shards.get_mut(&shard) else {
             return;
--- a/crates/tinbank-batch/src/owner/control.rs
+++ b/crates/tinbank-batch/src/owner/control.rs
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Handles the passing of time.
+    /// Handles a periodic tick.
     fn tick(&mut self) {
         self.follow();
         self.check_retention(Instant::now());
@@ -240,7 +240,7 @@
         followed.decide_dispatches(me);
         followed.active_items.remove_finished(now);
         let step = followed.step(stopping, now);
-        let stop = match step {
+        let run_mode = match step {
             Step::Hold => Some(RunMode::Run),
             Step::Drain => Some(RunMode::Drain),
             Step::Append(lease::Lease::Release { .. }) => Some(RunMode::Drain),
@@ -250,7 +250,7 @@
         };
         // Duties derived from a stale fold would renew the lease indefinitely.
         let fresh = !followed.contender.is_stale(now);
-        let purge = stop.is_some_and(|stop| followed.set_run_mode(stop));
+        let purge = run_mode.is_some_and(|run_mode| followed.set_run_mode(run_mode));
         if purge {
             self.purge();
         }
@@ -258,10 +258,10 @@
             self.append_lease(shard, record);
         }
         if matches!(step, Step::Hold | Step::Drain) && fresh {
-            self.do_duties(shard, now);
+            self.append_duties(shard, now);
         }
         if matches!(step, Step::Hold) && fresh {
-            self.do_upkeep(shard);
+            self.carry_forward(shard);
         }
         self.flush(shard, now);
     }
@@ -285,7 +285,7 @@
         }
     }
 
-    pub(super) fn note(&self, shard: id::Shard, job: Option<id::Job>, kind: Kind) {
+    pub(super) fn record_event(&self, shard: id::Shard, job: Option<id::Job>, kind: Kind) {
         let subject = Subject {
             shard: Some(shard),
             job,
--- a/crates/tinbank-batch/src/owner/follow.rs
+++ b/crates/tinbank-batch/src/owner/follow.rs
@@ -182,20 +182,20 @@
                         .and_then(|fold| fold.job(*job))
                         .map(|job| job.head.items);
                     if let Some(items) = items {
-                        self.note(shard, Some(*job), Kind::Committed { items });
+                        self.record_event(shard, Some(*job), Kind::Committed { items });
                     }
                 }
                 Change::Lease(lease::Change::Taken(holder)) if holder.writer == me => {
                     let epoch = holder.epoch;
                     log::info!(shard, epoch; "lease taken");
-                    self.note(shard, None, Kind::LeaseTaken { epoch });
+                    self.record_event(shard, None, Kind::LeaseTaken { epoch });
                 }
                 Change::Lease(lease::Change::Released(holder)) if holder.writer == me => {
                     let epoch = holder.epoch;
                     log::info!(shard, epoch; "lease released");
-                    self.note(shard, None, Kind::LeaseReleased { epoch });
+                    self.record_event(shard, None, Kind::LeaseReleased { epoch });
                 }
-                Change::Cancelled(job) => self.note(shard, Some(*job), Kind::Cancelled),
+                Change::Cancelled(job) => self.record_event(shard, Some(*job), Kind::Cancelled),
                 _ => {}
             }
         }
--- a/crates/tinbank-batch/src/owner/load.rs
+++ b/crates/tinbank-batch/src/owner/load.rs
@@ -90,9 +90,9 @@
                         service: ready.service.to_owned(),
                     };
                     let count = active.get(&flow).copied().unwrap_or_default();
-                    let held = followed.active_items.contains(ready.job, ready.chunk.chunk);
+                    let already_active = followed.active_items.contains(ready.job, ready.chunk.chunk);
                     let known = service(configuration, &flow).is_some();
-                    let open = !held && known && count < CHUNKS_PER_FLOW;
+                    let open = !already_active && known && count < CHUNKS_PER_FLOW;
                     open.then(|| Candidate {
                         active: count,
                         due: ready.due,
@@ -216,7 +216,7 @@
         let Some((customer, service)) = service(&configuration, &flow) else {
             return Vec::new();
         };
-        let ours = |limit| quota::local_share(limit, place, hosts);
+        let local_limit = |limit| quota::local_share(limit, place, hosts);
         let numbered = (summary.first..).zip(items);
         numbered
             .filter_map(|(number, item)| {
@@ -233,7 +233,7 @@
                     key,
                     flow: flow.clone(),
                     weight: customer.share,
-                    concurrency_limit: customer.limits.batch_at_once.map(ours),
+                    concurrency_limit: customer.limits.batch_at_once.map(local_limit),
                     service: service.clone(),
                     due: release.due,
                     prefix: tinbank_routing::prefix::of_body(&flow.service, &item.body),
@@ -242,7 +242,7 @@
                     attempts: 0,
                     failures: 0,
                     losses: 0,
-                    tries: 0,
+                    retries: 0,
                     request: None,
                     partial_answer: PartialAnswer::default(),
                     run_mode: run_mode.clone(),
--- a/crates/tinbank-batch/src/owner/upkeep.rs
+++ b/crates/tinbank-batch/src/owner/upkeep.rs
@@ -38,7 +38,7 @@
     /// Records before this offset will soon be deleted, and some of them are still needed.
     pub(super) due: Option<id::Offset>,
     /// Whether a batch is being appended.
-    under_way: bool,
+    in_progress: bool,
     /// Fold offset at which the last batch has been read back.
     read_back_at: id::Offset,
 }
@@ -48,7 +48,7 @@
         Self {
             marks: Marks::new(check_interval(retention)),
             due: None,
-            under_way: false,
+            in_progress: false,
             read_back_at: 0,
         }
     }
@@ -98,11 +98,11 @@
     }
 
     /// Carries due chunks forward, one batch at a time, and then the checkpoint.
-    pub(super) fn do_upkeep(&mut self, shard: id::Shard) {
+    pub(super) fn carry_forward(&mut self, shard: id::Shard) {
         let Some(followed) = self.shards.get_mut(&shard) else {
             return;
         };
-        let (Some(before), false) = (followed.upkeep.due, followed.upkeep.under_way) else {
+        let (Some(before), false) = (followed.upkeep.due, followed.upkeep.in_progress) else {
             return;
         };
         if followed.fold.next() < followed.upkeep.read_back_at {
@@ -128,7 +128,7 @@
             followed.upkeep.due = None;
             return;
         }
-        followed.upkeep.under_way = true;
+        followed.upkeep.in_progress = true;
         let batch = CarryBatch {
             shard,
             through,
@@ -153,7 +153,7 @@
         let Some(followed) = self.shards.get_mut(&shard) else {
             return;
         };
-        followed.upkeep.under_way = false;
+        followed.upkeep.in_progress = false;
         match last {
             Some(last) => followed.upkeep.read_back_at = last + 1,
             // The next check marks the shard again.
--- a/crates/tinbank-batch/src/runner/pool/attempt_end.rs
+++ b/crates/tinbank-batch/src/runner/pool/attempt_end.rs
@@ -81,9 +81,9 @@
 
     /// Schedules a retry after a backoff with jitter.
     fn retry_later(&mut self, mut task: Box<Task>) {
-        task.tries += 1;
+        task.retries += 1;
         let spread = rand::random_range(0.5..1.0);
-        let pause = retry::backoff(task.tries).mul_f64(spread);
+        let pause = retry::backoff(task.retries).mul_f64(spread);
         self.running.spawn(async move {
             time::sleep(pause).await;
             TaskEvent::BackoffElapsed(task)
--- a/crates/tinbank-batch/src/runner/retry.rs
+++ b/crates/tinbank-batch/src/runner/retry.rs
@@ -62,9 +62,9 @@
     matches!(error.kind, Kind::Cut(_))
 }
 
-/// Returns the delay before the next attempt, after `tries` retries.
-pub fn backoff(tries: u32) -> Duration {
-    let doubled = FIRST_BACKOFF * 2_u32.pow(tries.saturating_sub(1).min(16));
+/// Returns the delay before the next attempt, after `retries` retries.
+pub fn backoff(retries: u32) -> Duration {
+    let doubled = FIRST_BACKOFF * 2_u32.pow(retries.saturating_sub(1).min(16));
     doubled.min(MAX_BACKOFF)
 }
 
--- a/crates/tinbank-batch/src/runner/task.rs
+++ b/crates/tinbank-batch/src/runner/task.rs
@@ -69,7 +69,7 @@
     /// Number of failures in which the upstream was lost.
     pub losses: u16,
     /// Number of retries so far, including tries that did not run.
-    pub tries: u32,
+    pub retries: u32,
     /// Request ID of the latest attempt.
     pub request: Option<id::Request>,
     /// Answer received so far.
--- a/crates/tinbank-batch/tests/attempt.rs
+++ b/crates/tinbank-batch/tests/attempt.rs
@@ -63,7 +63,7 @@
         attempts: 0,
         failures: 0,
         losses: 0,
-        tries: 0,
+        retries: 0,
         request: None,
         partial_answer: PartialAnswer::default(),
         run_mode,
