--- a/crates/tinbank-batch/src/control/mod.rs
+++ b/crates/tinbank-batch/src/control/mod.rs
@@ -29,7 +29,11 @@
     writers: watch::Sender<usize>,
     reports_per_second: u32,
 ) {
-    core.spawn(apply_host_lists(core.hosts(), table.clone(), admission.clone()));
+    core.spawn(apply_host_lists(
+        core.hosts(),
+        table.clone(),
+        admission.clone(),
+    ));
     upstreams::follow(core, table, reports_per_second);
     core.spawn(count_writers(membership.watch(), writers));
     let mut progress = core.follower.progress();
--- a/crates/tinbank-batch/src/http/context.rs
+++ b/crates/tinbank-batch/src/http/context.rs
@@ -21,7 +21,7 @@
 };
 use tinbank_timeline::Recorder;
 
-use crate::{owner_client::OwnerClient, intake::Intake};
+use crate::{intake::Intake, owner_client::OwnerClient};
 
 /// Timeout of requests to shard owners.
 pub(super) const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
--- a/crates/tinbank-batch/src/http/item.rs
+++ b/crates/tinbank-batch/src/http/item.rs
@@ -60,7 +60,12 @@
     let status = context.job(headers, &path.id).await?;
     let mut searches = Vec::with_capacity(status.head.shards.len());
     for shard in &status.head.shards {
-        let pages = Pages::new(context.owner_client.clone(), &status.head, *shard, context.shards);
+        let pages = Pages::new(
+            context.owner_client.clone(),
+            &status.head,
+            *shard,
+            context.shards,
+        );
         searches.push(find(pages.with_custom_id(&path.custom_id)));
     }
     let mut found = stream::iter(searches).buffer_unordered(MAX_CONCURRENT_SHARDS);
@@ -82,7 +87,9 @@
                     return Ok(Some(Item::of(outcome, page.cancelled)));
                 }
             }
-            Page::NotReleased if Instant::now() < deadline => time::sleep(RELEASE_POLL_INTERVAL).await,
+            Page::NotReleased if Instant::now() < deadline => {
+                time::sleep(RELEASE_POLL_INTERVAL).await
+            }
             Page::NotReleased => {
                 let message = "the batch has only just been taken in";
                 return Err(Failure::not_run(Code::NotReady, message).help("ask again"));
--- a/crates/tinbank-batch/src/http/job.rs
+++ b/crates/tinbank-batch/src/http/job.rs
@@ -23,7 +23,7 @@
 use tokio::time;
 
 use super::{
-    context::{Context, unexpected_response, deadline},
+    context::{Context, deadline, unexpected_response},
     view::{Counts, Job, JobState},
 };
 
--- a/crates/tinbank-batch/src/http/results.rs
+++ b/crates/tinbank-batch/src/http/results.rs
@@ -38,7 +38,14 @@
     let status = context.job(headers, id).await?;
     let shards = status.head.shards.iter();
     let pages: VecDeque<Pages> = shards
-        .map(|shard| Pages::new(context.owner_client.clone(), &status.head, *shard, context.shards))
+        .map(|shard| {
+            Pages::new(
+                context.owner_client.clone(),
+                &status.head,
+                *shard,
+                context.shards,
+            )
+        })
         .collect();
     let state = State { pages };
     let pieces = stream::try_unfold(state, |mut state| async {
--- a/crates/tinbank-batch/src/http/submit.rs
+++ b/crates/tinbank-batch/src/http/submit.rs
@@ -21,7 +21,7 @@
     context::Context,
     view::{Counts, Job, JobState},
 };
-use crate::intake::{Submission, Accepted, submission::SubmitOptions};
+use crate::intake::{Accepted, Submission, submission::SubmitOptions};
 
 /// Maximum size of a job's body in bytes, equal to the intake's limit.
 const MAX_BODY_BYTES: usize = 4 << 30;
@@ -90,7 +90,11 @@
     value.to_str().ok()?.parse().ok()
 }
 
-fn record_submission(context: &Context, submission: &Submission, accepted: &Result<Accepted, Failure>) {
+fn record_submission(
+    context: &Context,
+    submission: &Submission,
+    accepted: &Result<Accepted, Failure>,
+) {
     let job = accepted.as_ref().ok().map(|accepted| accepted.head.job);
     let subject = Subject {
         job,
--- a/crates/tinbank-batch/src/intake/mod.rs
+++ b/crates/tinbank-batch/src/intake/mod.rs
@@ -10,9 +10,9 @@
 pub mod line;
 mod quota;
 mod resend;
-mod upload;
 pub mod store;
 pub mod submission;
+mod upload;
 
 pub use finding::Finding;
 pub use limit::Limits;
--- a/crates/tinbank-batch/src/intake/store.rs
+++ b/crates/tinbank-batch/src/intake/store.rs
@@ -21,7 +21,7 @@
 
 use super::{
     Limits, Submission,
-    failure::{RETRY_AFTER, body_interrupted, head_failed, commit_unknown},
+    failure::{RETRY_AFTER, body_interrupted, commit_unknown, head_failed},
     quota::{Quota, Quotas, Reservation},
     resend::{digest_body, match_existing},
     upload::{Upload, append},
@@ -106,14 +106,22 @@
         };
         let mut body = std::pin::pin!(body);
         if let Some(head) = earlier {
-            let digest = submission.digest(&digest_body(body.as_mut(), self.limits.body_bytes).await?);
+            let digest =
+                submission.digest(&digest_body(body.as_mut(), self.limits.body_bytes).await?);
             return match_existing(head, digest);
         }
         let quota = self.quota(submission).await;
         if let Some(quota) = quota {
             quota.check(1)?;
         }
-        let mut upload = Upload::new(&self.writer, self.shards, self.limits, quota, submission, job);
+        let mut upload = Upload::new(
+            &self.writer,
+            self.shards,
+            self.limits,
+            quota,
+            submission,
+            job,
+        );
         while let Some(part) = body.next().await {
             upload.push(&part.map_err(body_interrupted)?).await?;
         }
@@ -147,7 +155,9 @@
     }
 
     async fn pending(&self, customer: &str) -> u64 {
-        self.owner_client.pending(customer, Instant::now() + COUNT_TIMEOUT).await
+        self.owner_client
+            .pending(customer, Instant::now() + COUNT_TIMEOUT)
+            .await
     }
 
     /// Marks the job as being accepted by this process, or fails if it already is.
@@ -169,7 +179,10 @@
     async fn find_existing(&self, job: id::Job) -> Option<Head> {
         let shard = placement::shard_of_job(job, self.shards);
         let until = Instant::now() + LOOKUP_TIMEOUT;
-        let answer = self.owner_client.ask(shard, Request::Job { job }, until).await;
+        let answer = self
+            .owner_client
+            .ask(shard, Request::Job { job }, until)
+            .await;
         match answer.ok()?.pop()? {
             Response::Job(status) => status.map(|status| status.head),
             _ => None,
--- a/crates/tinbank-batch/src/intake/upload.rs
+++ b/crates/tinbank-batch/src/intake/upload.rs
@@ -191,7 +191,9 @@
     }
 }
 
-fn check_append(result: Result<Result<id::Offset, writer::Error>, JoinError>) -> Result<(), Failure> {
+fn check_append(
+    result: Result<Result<id::Offset, writer::Error>, JoinError>,
+) -> Result<(), Failure> {
     match result {
         Ok(Ok(_)) => Ok(()),
         Ok(Err(error)) => Err(chunk_failed(&error)),
--- a/crates/tinbank-batch/src/owner/active_items.rs
+++ b/crates/tinbank-batch/src/owner/active_items.rs
@@ -41,7 +41,13 @@
 
 impl ActiveItems {
     /// Marks a chunk as being loaded, with a deadline of `until`.
-    pub(super) fn begin_load(&mut self, job: id::Job, chunk: id::Chunk, flow: Flow, until: Instant) {
+    pub(super) fn begin_load(
+        &mut self,
+        job: id::Job,
+        chunk: id::Chunk,
+        flow: Flow,
+        until: Instant,
+    ) {
         let active_chunk = ActiveChunk {
             flow,
             running: BTreeSet::new(),
@@ -139,7 +145,8 @@
 
     /// Removes chunks without active items, and jobs without chunks.
     pub(super) fn remove_finished(&mut self, now: Instant) {
-        self.chunks.retain(|_, active_chunk| !active_chunk.is_done(now));
+        self.chunks
+            .retain(|_, active_chunk| !active_chunk.is_done(now));
         let chunks = &self.chunks;
         self.jobs.retain(|job, _| {
             let mut of_job = chunks.range((*job, id::Chunk::MIN)..=(*job, id::Chunk::MAX));
@@ -158,18 +165,26 @@
 
     /// Returns the number of active items. A chunk being loaded counts as one.
     pub(super) fn len(&self) -> usize {
-        let items = |active_chunk: &ActiveChunk| active_chunk.running.len() + active_chunk.ended.len();
-        self.chunks.values().map(|active_chunk| items(active_chunk).max(1)).sum()
+        let items =
+            |active_chunk: &ActiveChunk| active_chunk.running.len() + active_chunk.ended.len();
+        self.chunks
+            .values()
+            .map(|active_chunk| items(active_chunk).max(1))
+            .sum()
     }
 
     /// Returns the number of items with the runner.
     pub(super) fn running(&self) -> usize {
-        self.chunks.values().map(|active_chunk| active_chunk.running.len()).sum()
+        self.chunks
+            .values()
+            .map(|active_chunk| active_chunk.running.len())
+            .sum()
     }
 
     /// Returns the number of items that are with the runner or not yet read back.
     pub(super) fn in_flight(&self) -> usize {
-        let items = |active_chunk: &ActiveChunk| active_chunk.running.len() + active_chunk.ended.len();
+        let items =
+            |active_chunk: &ActiveChunk| active_chunk.running.len() + active_chunk.ended.len();
         self.chunks.values().map(items).sum()
     }
 }
--- a/crates/tinbank-batch/src/owner/active_items/tests.rs
+++ b/crates/tinbank-batch/src/owner/active_items/tests.rs
@@ -68,6 +68,9 @@
 
     active_items.drop_job(1);
 
-    assert_eq!((*first.borrow(), *second.borrow()), (RunMode::Abort, RunMode::Run));
+    assert_eq!(
+        (*first.borrow(), *second.borrow()),
+        (RunMode::Abort, RunMode::Run)
+    );
     assert_eq!(active_items.in_flight(), 1);
 }
--- a/crates/tinbank-batch/src/owner/answer.rs
+++ b/crates/tinbank-batch/src/owner/answer.rs
@@ -22,7 +22,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::{
-    OwnerRequest, Owner,
+    Owner, OwnerRequest,
     results::{self, Wanted},
     shard::failed,
 };
@@ -114,7 +114,9 @@
             },
             request => {
                 let (reply, answer) = oneshot::channel();
-                self.owner.ask(OwnerRequest::Request { request, reply }).await;
+                self.owner
+                    .ask(OwnerRequest::Request { request, reply })
+                    .await;
                 one(answer.await.unwrap_or(Response::NotOwner(None)))
             }
         }
--- a/crates/tinbank-batch/src/owner/appends.rs
+++ b/crates/tinbank-batch/src/owner/appends.rs
@@ -16,7 +16,7 @@
 
 use super::{
     control::Control,
-    input::{Input, PendingReply, AppendPurpose},
+    input::{AppendPurpose, Input, PendingReply},
     shard::{answer, failed},
 };
 
@@ -26,7 +26,13 @@
 impl Control {
     pub(super) fn append_lease(&mut self, shard: id::Shard, record: lease::Lease) {
         let records = vec![work::Record::Lease(record)];
-        self.append_with(shard, shard, records, Priority::Reserved, AppendPurpose::Lease);
+        self.append_with(
+            shard,
+            shard,
+            records,
+            Priority::Reserved,
+            AppendPurpose::Lease,
+        );
     }
 
     /// Appends the due records that the owner of the shard has to write to it and to other shards.
@@ -138,9 +144,13 @@
             }
             AppendPurpose::Dispatch(keys) => {
                 let may_stand = result.as_ref().is_err_and(writer::Error::may_stand);
-                followed.dispatches.on_appended(&keys, result.is_ok(), may_stand);
+                followed
+                    .dispatches
+                    .on_appended(&keys, result.is_ok(), may_stand);
+            }
+            AppendPurpose::PendingReply(pending) => {
+                self.reply_when_read_back(shard, *pending, result)
             }
-            AppendPurpose::PendingReply(pending) => self.reply_when_read_back(shard, *pending, result),
         }
     }
 
--- a/crates/tinbank-batch/src/owner/control.rs
+++ b/crates/tinbank-batch/src/owner/control.rs
@@ -24,7 +24,7 @@
 };
 
 use super::{
-    input::{OwnerRequest, Input},
+    input::{Input, OwnerRequest},
     shard::FollowedShard,
 };
 use crate::runner::{
@@ -214,7 +214,9 @@
         let owned = shards
             .clone()
             .filter(|followed| followed.epoch(me).is_some());
-        let active: usize = shards.map(|followed| followed.active_items.in_flight()).sum();
+        let active: usize = shards
+            .map(|followed| followed.active_items.in_flight())
+            .sum();
         metrics::gauge!("tinbank_batch_shards_owned").set(owned.count() as f64);
         metrics::gauge!("tinbank_batch_items_in_hand").set(active as f64);
     }
--- a/crates/tinbank-batch/src/owner/dispatches.rs
+++ b/crates/tinbank-batch/src/owner/dispatches.rs
@@ -36,7 +36,10 @@
         if self.sending {
             return None;
         }
-        let open = self.pending.iter_mut().filter(|(_, pending)| !pending.appended);
+        let open = self
+            .pending
+            .iter_mut()
+            .filter(|(_, pending)| !pending.appended);
         let keys: Vec<Key> = open
             .map(|(key, pending)| {
                 pending.appended = true;
--- a/crates/tinbank-batch/src/owner/follow.rs
+++ b/crates/tinbank-batch/src/owner/follow.rs
@@ -91,7 +91,12 @@
     }
 
     /// Handles an event of a shard's reader.
-    pub(super) fn on_read(&mut self, shard: id::Shard, generation: u64, event: Event<work::Record>) {
+    pub(super) fn on_read(
+        &mut self,
+        shard: id::Shard,
+        generation: u64,
+        event: Event<work::Record>,
+    ) {
         let Some(followed) = self.shards.get_mut(&shard) else {
             return;
         };
--- a/crates/tinbank-batch/src/owner/load.rs
+++ b/crates/tinbank-batch/src/owner/load.rs
@@ -14,7 +14,7 @@
 use crate::runner::{
     pool::Command,
     quota,
-    task::{Flow, PartialAnswer, Key, Task},
+    task::{Flow, Key, PartialAnswer, Task},
 };
 
 /// Maximum active chunks of one flow.
@@ -90,7 +90,8 @@
                         service: ready.service.to_owned(),
                     };
                     let count = active.get(&flow).copied().unwrap_or_default();
-                    let already_active = followed.active_items.contains(ready.job, ready.chunk.chunk);
+                    let already_active =
+                        followed.active_items.contains(ready.job, ready.chunk.chunk);
                     let known = service(configuration, &flow).is_some();
                     let open = !already_active && known && count < CHUNKS_PER_FLOW;
                     open.then(|| Candidate {
@@ -182,7 +183,9 @@
             return;
         };
         let numbers = tasks.iter().map(|task| task.key.item);
-        followed.active_items.on_loaded(job, chunk, numbers, reload_at);
+        followed
+            .active_items
+            .on_loaded(job, chunk, numbers, reload_at);
         if !tasks.is_empty() {
             // The runner ends only with the process.
             let _ = self.deps.pool.send(Command::Add(tasks));
--- a/crates/tinbank-batch/src/owner/reports.rs
+++ b/crates/tinbank-batch/src/owner/reports.rs
@@ -28,7 +28,9 @@
                 {
                     self.dirty.insert(key.shard);
                     let reload_at = Instant::now() + RELOAD_DELAY;
-                    followed.active_items.on_returned(key.job, key.chunk, key.item, reload_at);
+                    followed
+                        .active_items
+                        .on_returned(key.job, key.chunk, key.item, reload_at);
                 }
             }
             Report::Ended { key, completion } => self.on_item_ended(key, completion),
@@ -47,7 +49,9 @@
         if !open {
             // The item already has another owner's completion, or the job was cancelled.
             if active {
-                followed.active_items.on_read_back(key.job, key.chunk, &[key.item]);
+                followed
+                    .active_items
+                    .on_read_back(key.job, key.chunk, &[key.item]);
             }
             return;
         }
--- a/crates/tinbank-batch/src/owner/requests.rs
+++ b/crates/tinbank-batch/src/owner/requests.rs
@@ -12,7 +12,7 @@
 
 use super::{
     control::Control,
-    input::{OwnerRequest, Input, PendingPlan, ReplyKind, PendingReply, AppendPurpose},
+    input::{AppendPurpose, Input, OwnerRequest, PendingPlan, PendingReply, ReplyKind},
     shard::{answer, failed},
 };
 
@@ -128,7 +128,11 @@
             return answer(reply, Response::Cancelled(known.cancelled));
         }
         let kind = ReplyKind::Cancelled(job);
-        self.append_for(shard, work::Record::Cancel { job }, PendingReply { kind, reply });
+        self.append_for(
+            shard,
+            work::Record::Cancel { job },
+            PendingReply { kind, reply },
+        );
     }
 
     fn claim(
@@ -161,7 +165,12 @@
         if !self.shards.contains_key(&shard) {
             return answer(pending.reply, Response::NotOwner(None));
         }
-        self.append(shard, shard, vec![record], AppendPurpose::PendingReply(Box::new(pending)));
+        self.append(
+            shard,
+            shard,
+            vec![record],
+            AppendPurpose::PendingReply(Box::new(pending)),
+        );
     }
 
     fn reply_at(&mut self, shard: id::Shard, past: id::Offset, pending: PendingReply) {
--- a/crates/tinbank-batch/src/owner/shard.rs
+++ b/crates/tinbank-batch/src/owner/shard.rs
@@ -18,9 +18,9 @@
 use tokio::{sync::oneshot, task::AbortHandle};
 
 use super::{
-    dispatches::Dispatches,
     active_items::ActiveItems,
-    input::{ResultPlan, PendingPlan, ReplyKind, PendingReply},
+    dispatches::Dispatches,
+    input::{PendingPlan, PendingReply, ReplyKind, ResultPlan},
     outbox::Outbox,
     upkeep::Upkeep,
 };
@@ -146,7 +146,9 @@
                 self.active_items.drop_job(*job);
                 self.outbox.drop_job(*job);
             }
-            Change::Completed { job, chunk, items } => self.active_items.on_read_back(*job, *chunk, items),
+            Change::Completed { job, chunk, items } => {
+                self.active_items.on_read_back(*job, *chunk, items)
+            }
             _ => {}
         }
     }
--- a/crates/tinbank-batch/src/owner/upkeep.rs
+++ b/crates/tinbank-batch/src/owner/upkeep.rs
@@ -88,7 +88,11 @@
         let Some(old) = SystemTime::now().checked_sub(retention / 2) else {
             return;
         };
-        for followed in self.shards.values_mut().filter(|followed| followed.caught_up) {
+        for followed in self
+            .shards
+            .values_mut()
+            .filter(|followed| followed.caught_up)
+        {
             let before = followed.upkeep.marks.before(old);
             if followed.fold.needs_care(before) {
                 // Due records stay due until carried, since the lease needed for that adds new records to the shard.
@@ -179,7 +183,11 @@
     }
 
     /// Builds the records that carry a chunk. A chunk with large results takes several, the one with its bodies last.
-    async fn records(&self, log: &dyn Log, carried: &ChunkToCarry) -> Result<Vec<work::Record>, String> {
+    async fn records(
+        &self,
+        log: &dyn Log,
+        carried: &ChunkToCarry,
+    ) -> Result<Vec<work::Record>, String> {
         let chunk = &carried.chunk;
         let body = read_chunk(log, self.shard, chunk.place()).await?;
         let mut results = Vec::with_capacity(chunk.results().len());
--- a/crates/tinbank-batch/src/pages.rs
+++ b/crates/tinbank-batch/src/pages.rs
@@ -52,7 +52,12 @@
 
 impl Pages {
     /// Creates a reader at the first page.
-    pub fn new(owner_client: OwnerClient, head: &Head, shard: id::Shard, shards: id::Shard) -> Self {
+    pub fn new(
+        owner_client: OwnerClient,
+        head: &Head,
+        shard: id::Shard,
+        shards: id::Shard,
+    ) -> Self {
         Self {
             owner_client,
             job: head.job,
--- a/crates/tinbank-batch/src/runner/answer.rs
+++ b/crates/tinbank-batch/src/runner/answer.rs
@@ -63,12 +63,22 @@
                 let got = partial_answer.tokens;
                 return Err(Kind::Cut(format!("{got} of {tokens} tokens came")));
             }
-            Ok(Some(build_completion(partial_answer, &reason, request, service)))
+            Ok(Some(build_completion(
+                partial_answer,
+                &reason,
+                request,
+                service,
+            )))
         }
     }
 }
 
-fn build_completion(partial_answer: &PartialAnswer, reason: &str, request: id::Request, service: &str) -> Bytes {
+fn build_completion(
+    partial_answer: &PartialAnswer,
+    reason: &str,
+    request: id::Request,
+    service: &str,
+) -> Bytes {
     let message = Message {
         role: "assistant",
         content: &partial_answer.text,
--- a/crates/tinbank-batch/src/runner/attempt.rs
+++ b/crates/tinbank-batch/src/runner/attempt.rs
@@ -117,7 +117,11 @@
 async fn dispatch(context: &AttemptContext, task: &Task) -> Permit {
     let (reply, permit) = oneshot::channel();
     let key = task.key;
-    if context.reports.send(Report::Dispatch { key, reply }).is_err() {
+    if context
+        .reports
+        .send(Report::Dispatch { key, reply })
+        .is_err()
+    {
         return Permit::Later;
     }
     permit.await.unwrap_or(Permit::Later)
@@ -192,7 +196,12 @@
     }
 }
 
-async fn chat(context: &AttemptContext, task: &mut Task, target: Target, call: Call) -> Result<Bytes, Error> {
+async fn chat(
+    context: &AttemptContext,
+    task: &mut Task,
+    target: Target,
+    call: Call,
+) -> Result<Bytes, Error> {
     let request = call.request;
     let mut parts = context.upstreams.chat(target, call).await?;
     while let Some(part) = parts.next().await {
@@ -201,7 +210,10 @@
             return Ok(whole);
         }
     }
-    Err(unknown_outcome(target, Kind::Cut("no end marker".to_owned())))
+    Err(unknown_outcome(
+        target,
+        Kind::Cut("no end marker".to_owned()),
+    ))
 }
 
 async fn plain(context: &AttemptContext, target: Target, call: Call) -> Result<Bytes, Error> {
@@ -209,7 +221,10 @@
     let parsed = serde_json::from_slice::<serde::de::IgnoredAny>(&answer);
     match parsed {
         Ok(_) => Ok(answer),
-        Err(error) => Err(unknown_outcome(target, Kind::Cut(format!("no JSON: {error}")))),
+        Err(error) => Err(unknown_outcome(
+            target,
+            Kind::Cut(format!("no JSON: {error}")),
+        )),
     }
 }
 
--- a/crates/tinbank-batch/src/runner/isolation.rs
+++ b/crates/tinbank-batch/src/runner/isolation.rs
@@ -67,7 +67,8 @@
 
     /// Clears the reservations of idle upstreams. Called when no suspect waits.
     pub fn clear_reservations(&mut self) {
-        self.0.retain(|_, state| state.running > 0 || !state.reserved);
+        self.0
+            .retain(|_, state| state.running > 0 || !state.reserved);
     }
 
     /// Returns the number of items of this process in the upstream.
--- a/crates/tinbank-batch/src/runner/partition.rs
+++ b/crates/tinbank-batch/src/runner/partition.rs
@@ -70,7 +70,8 @@
 
 impl Gate for Partition {
     fn enter(&self, upstream: id::Upstream, _customer: &str, _now: Instant) -> Option<Pass> {
-        self.concurrency_gate.try_enter(upstream, self.local_slots(upstream))
+        self.concurrency_gate
+            .try_enter(upstream, self.local_slots(upstream))
     }
 
     fn wish(&self, _: id::Upstream, _: &str, _: u16, _: Instant, _: Instant) {}
--- a/crates/tinbank-batch/src/runner/pool.rs
+++ b/crates/tinbank-batch/src/runner/pool.rs
@@ -21,9 +21,9 @@
 
 use super::{
     attempt::{self, AttemptContext, AttemptEnd, Placement},
+    concurrency_gate::ConcurrencyGate,
     isolation::SuspectIsolation,
     quota::Quotas,
-    concurrency_gate::ConcurrencyGate,
     scheduler::Scheduler,
     task::{Flow, Report, Task},
 };
@@ -121,7 +121,8 @@
             return;
         }
         let (flow, weight, due) = (task.flow.clone(), task.weight, task.due);
-        self.quotas.set_limit(&flow.customer, task.concurrency_limit);
+        self.quotas
+            .set_limit(&flow.customer, task.concurrency_limit);
         self.queue.push(flow, weight, due, 1, task);
     }
 
--- a/crates/tinbank-batch/src/runner/pool/attempt_end.rs
+++ b/crates/tinbank-batch/src/runner/pool/attempt_end.rs
@@ -8,7 +8,7 @@
 };
 use tokio::time;
 
-use super::{TaskEvent, MAX_ANSWER_BYTES, Pool};
+use super::{MAX_ANSWER_BYTES, Pool, TaskEvent};
 use crate::runner::{
     attempt::AttemptEnd,
     retry::{self, FailureHistory, Verdict},
--- a/crates/tinbank-batch/src/service.rs
+++ b/crates/tinbank-batch/src/service.rs
@@ -147,7 +147,12 @@
             let _control = environment.handles.control.enter();
             Owner::start(deps, reported)
         };
-        let answerer = Answerer::new(owner.clone(), environment.log, environment.follower, environment.credits);
+        let answerer = Answerer::new(
+            owner.clone(),
+            environment.log,
+            environment.follower,
+            environment.credits,
+        );
         let owner_client = OwnerClient {
             me: environment.me,
             directory: environment.directory.clone(),
--- a/crates/tinbank-batch/tests/appends.rs
+++ b/crates/tinbank-batch/tests/appends.rs
@@ -29,7 +29,9 @@
             let caller = caller.clone();
             async move {
                 let key = format!("sweep-{job}");
-                let id = caller.submit_accepted(Some(&key), lines(job * ITEMS, ITEMS)).await;
+                let id = caller
+                    .submit_accepted(Some(&key), lines(job * ITEMS, ITEMS))
+                    .await;
                 caller.wait_for_state(&id, "completed").await;
             }
         });
--- a/crates/tinbank-batch/tests/attempt.rs
+++ b/crates/tinbank-batch/tests/attempt.rs
@@ -15,7 +15,7 @@
 use tinbank_base::id;
 use tinbank_batch::runner::{
     attempt::{self, AttemptContext, AttemptEnd, Placement},
-    task::{Flow, PartialAnswer, Key, RunMode, Task},
+    task::{Flow, Key, PartialAnswer, RunMode, Task},
 };
 use tinbank_configuration::{service::Service, template::Traffic};
 use tinbank_routing::choice::{Ask, Router};
@@ -99,15 +99,26 @@
     withdrawn = { RunMode::Run, true },
 )]
 #[test_macro(tokio::test)]
-async fn a_request_that_was_never_sent_is_not_cancelled_at_the_engine(run_mode: RunMode, withdraw: bool) {
+async fn a_request_that_was_never_sent_is_not_cancelled_at_the_engine(
+    run_mode: RunMode,
+    withdraw: bool,
+) {
     let engines = Engines::new(1);
     let (_stop, stopped) = watch::channel(run_mode);
     let (_withdraw, withdrawn) = watch::channel(withdraw);
     let mut task = task(stopped);
 
-    let end = attempt::run(&context(&engines), &mut task, placement(&engines, withdrawn)).await;
+    let end = attempt::run(
+        &context(&engines),
+        &mut task,
+        placement(&engines, withdrawn),
+    )
+    .await;
 
-    assert!(matches!(end, AttemptEnd::Stopped | AttemptEnd::Withdrawn), "{end:?}");
+    assert!(
+        matches!(end, AttemptEnd::Stopped | AttemptEnd::Withdrawn),
+        "{end:?}"
+    );
     assert_eq!(started_and_cancelled(&engines), (0, 0));
 }
 
--- a/crates/tinbank-batch/tests/faults.rs
+++ b/crates/tinbank-batch/tests/faults.rs
@@ -108,7 +108,9 @@
     for job in 1..5 {
         // The keys determine the jobs' shards; the lagging host ranks first for some of them.
         let key = format!("job-{job}");
-        let id = caller.submit_accepted(Some(&key), lines(job * 100, 10)).await;
+        let id = caller
+            .submit_accepted(Some(&key), lines(job * 100, 10))
+            .await;
         caller.wait_for_state(&id, "completed").await;
         counts.push(answered_names(&caller.results(&id).await).len());
     }
--- a/crates/tinbank-batch/tests/runner.rs
+++ b/crates/tinbank-batch/tests/runner.rs
@@ -60,7 +60,12 @@
     malformed = { Ran::No, rejected(), history(true, 0), Some(Code::UpstreamRejected) },
     exceeds_loss_limit = { Ran::Unknown, cut(), FailureHistory { exceeds_loss_limit: true, ..history(true, 1) }, Some(Code::UpstreamFailed) },
 )]
-fn retries_only_attempts_that_did_not_run_or_are_repeatable(ran: Ran, kind: Kind, history: FailureHistory, expected: Option<Code>) {
+fn retries_only_attempts_that_did_not_run_or_are_repeatable(
+    ran: Ran,
+    kind: Kind,
+    history: FailureHistory,
+    expected: Option<Code>,
+) {
     let verdict = retry::decide(&error(ran, kind), history);
 
     assert_eq!(code(verdict), expected);
@@ -99,7 +104,9 @@
 
 #[yare::parameterized(even = { 12, 4 }, uneven = { 13, 4 }, few = { 2, 5 }, none = { 0, 3 })]
 fn local_shares_add_up_to_the_limit(limit: u32, hosts: u32) {
-    let sum: u32 = (0..hosts).map(|place| quota::local_share(limit, place, hosts)).sum();
+    let sum: u32 = (0..hosts)
+        .map(|place| quota::local_share(limit, place, hosts))
+        .sum();
 
     assert_eq!(sum, limit);
 }
@@ -129,7 +136,10 @@
         tokens,
     };
     let mut partial_answer = PartialAnswer::default();
-    assert_eq!(answer::push_part(&mut partial_answer, token(0), 7, "notes"), Ok(None));
+    assert_eq!(
+        answer::push_part(&mut partial_answer, token(0), 7, "notes"),
+        Ok(None)
+    );
 
     let jumped = answer::push_part(&mut partial_answer.clone(), token(2), 7, "notes");
     let short = answer::push_part(&mut partial_answer.clone(), end(2), 7, "notes");
--- a/crates/tinbank-batch/tests/servers.rs
+++ b/crates/tinbank-batch/tests/servers.rs
@@ -157,7 +157,9 @@
         .map(|server| Session::new(server.http_address(), KEY))
         .collect();
     engines.hold();
-    let id = sessions[0].submit_accepted(Some("sweep"), lines(0, 300)).await;
+    let id = sessions[0]
+        .submit_accepted(Some("sweep"), lines(0, 300))
+        .await;
     eventually("items are in the engines", || async {
         engines.starts() > 0
     })
--- a/crates/tinbank-batch/tests/session.rs
+++ b/crates/tinbank-batch/tests/session.rs
@@ -74,7 +74,9 @@
     assert_eq!(foreign.status, StatusCode::CREATED);
     assert_ne!(foreign.text("/id"), id);
     first.wait_for_state(&id, "completed").await;
-    neighbour.wait_for_state(&foreign.text("/id"), "completed").await;
+    neighbour
+        .wait_for_state(&foreign.text("/id"), "completed")
+        .await;
     assert_eq!(world.engines.starts(), 6);
 }
 
--- a/crates/tinbank-batch/tests/support/mod.rs
+++ b/crates/tinbank-batch/tests/support/mod.rs
@@ -4,9 +4,9 @@
 
 pub mod engines;
 pub mod gate;
-pub mod stalling_log;
 pub mod net;
 pub mod session;
+pub mod stalling_log;
 
 use std::{
     collections::BTreeMap,
