--- a/crates/tinbank-batch/src/owner/follow.rs
+++ b/crates/tinbank-batch/src/owner/follow.rs
@@ -1,4 +1,4 @@
-//! Which shards we follow, and what their readers bring.
+//! Selects the shards to follow and applies events of their readers.
 
 use std::{sync::Arc, time::SystemTime};
 
@@ -12,24 +12,24 @@
 use tinbank_log::reader::{self, Event, Reader};
 use tinbank_membership::rendezvous;
 
-use super::{control::Control, input::Input, shard::Followed};
+use super::{control::Control, input::Input, shard::FollowedShard};
 
 impl Control {
-    /// Follows the shards that we rank high for, and leaves others once nothing of ours is in them.
+    /// Follows the shards for which this process ranks high enough, and stops following others once they are idle.
     pub(super) fn follow(&mut self) {
-        let members = self.parts.directory.members();
+        let members = self.deps.directory.members();
         if Arc::ptr_eq(&members, &self.members) {
             return;
         }
         self.members = members;
-        for shard in 0..self.parts.shards {
+        for shard in 0..self.deps.shards {
             self.follow_shard(shard);
         }
     }
 
     fn follow_shard(&mut self, shard: id::Shard) {
         let rank = self.rank(shard);
-        let near = rank.is_some_and(|rank| rank < self.parts.followers);
+        let near = rank.is_some_and(|rank| rank < self.deps.followers);
         if near && !self.shards.contains_key(&shard) {
             let followed = self.begin_at(shard, 0);
             self.shards.insert(shard, followed);
@@ -38,38 +38,38 @@
             return;
         };
         followed.rank = rank;
-        if !near && followed.is_idle(self.parts.me) {
+        if !near && followed.is_idle(self.deps.me) {
             self.shards.remove(&shard);
         }
     }
 
-    /// Our place among the members that may own the shard.
+    /// Returns the rank of this process among the members that may own the shard.
     fn rank(&self, shard: id::Shard) -> Option<u32> {
         let ready = self.members.ready(id::Role::Batch);
         let ranked = rendezvous::rank(ready, rendezvous::Key::Shard(shard));
         let place = ranked
             .iter()
-            .position(|member| member.writer.process == self.parts.me.process);
+            .position(|member| member.writer.process == self.deps.me.process);
         place.map(|place| place as u32)
     }
 
-    fn begin_at(&mut self, shard: id::Shard, from: id::Offset) -> Followed {
-        self.followings += 1;
-        let following = self.followings;
+    fn begin_at(&mut self, shard: id::Shard, from: id::Offset) -> FollowedShard {
+        self.last_generation += 1;
+        let generation = self.last_generation;
         let reader = Reader::new(
-            self.parts.log.clone(),
+            self.deps.log.clone(),
             Stream::Work(shard),
             from,
             reader::Settings::default(),
         );
         let inputs = self.inputs.clone();
-        let task = self.parts.traffic.spawn(async move {
+        let task = self.deps.traffic.spawn(async move {
             let mut reader: Reader<work::Record> = reader;
             loop {
                 let event = Box::new(reader.next().await);
                 let input = Input::Read {
                     shard,
-                    following,
+                    generation,
                     event,
                 };
                 if inputs.send(input).await.is_err() {
@@ -77,25 +77,30 @@
                 }
             }
         });
-        let (shards, me, terms) = (self.parts.shards, self.parts.me, self.parts.terms);
-        let retention = self.parts.retention;
-        Followed::new(
+        let (shards, me, terms) = (self.deps.shards, self.deps.me, self.deps.terms);
+        let retention = self.deps.retention;
+        FollowedShard::new(
             shard,
             shards,
             me,
             terms,
             retention,
-            following,
+            generation,
             task.abort_handle(),
         )
     }
 
-    /// Takes in what a reader brought.
-    pub(super) fn read(&mut self, shard: id::Shard, following: u64, event: Event<work::Record>) {
+    /// Handles an event of a shard's reader.
+    pub(super) fn on_read(
+        &mut self,
+        shard: id::Shard,
+        generation: u64,
+        event: Event<work::Record>,
+    ) {
         let Some(followed) = self.shards.get_mut(&shard) else {
             return;
         };
-        if followed.following != following {
+        if followed.generation != generation {
             return;
         }
         self.dirty.insert(shard);
@@ -105,15 +110,15 @@
             Event::Skipped { entry, .. } => followed.fold.skip(entry.offset),
             Event::Tail { .. } => {
                 let lease = *followed.fold.lease();
-                followed.current |= followed.recovery.is_none();
+                followed.caught_up |= followed.recovery.is_none();
                 followed.readable = true;
                 followed.contender.observe_tail(&lease, true, now);
                 self.give_up_recovery(shard);
             }
             Event::Trimmed { first } => {
-                followed.recovery = Some(Recovery::new(shard, self.parts.shards, first));
+                followed.recovery = Some(Recovery::new(shard, self.deps.shards, first));
                 followed.first = first;
-                followed.current = false;
+                followed.caught_up = false;
             }
             Event::Outage { .. } => {
                 let lease = *followed.fold.lease();
@@ -127,14 +132,14 @@
         let Some(followed) = self.shards.get_mut(&shard) else {
             return;
         };
-        self.parts.recorder.observe(envelope.stamp);
+        self.deps.recorder.observe(envelope.stamp);
         if let Some(recovery) = &mut followed.recovery {
             match recovery.offer(offset, envelope) {
                 Ok(Some(fold)) => self.recovered(shard, fold),
                 Ok(None) => {}
                 Err(error) => {
                     metrics::counter!("tinbank_batch_checkpoints_refused_total").increment(1);
-                    log::warn!(shard, offset, error:%; "checkpoint passed over");
+                    log::warn!(shard, offset, error:%; "checkpoint skipped: it cannot be restored");
                 }
             }
             return;
@@ -143,12 +148,12 @@
         followed.upkeep.marks.note(offset, envelope.stamp, now);
         let changes = followed.fold.apply(offset, envelope);
         for change in &changes {
-            followed.changed(change, self.parts.me);
+            followed.apply_change(change, self.deps.me);
         }
         self.note_changes(shard, &changes);
     }
 
-    /// A checkpoint was found; what stands between it and here has to be read again.
+    /// Restarts reading from a checkpoint that was found.
     fn recovered(&mut self, shard: id::Shard, fold: Shard) {
         let mut begun = self.begin_at(shard, fold.next());
         begun.rank = self.rank(shard);
@@ -156,7 +161,7 @@
         self.shards.insert(shard, begun);
     }
 
-    /// The tail was reached without a checkpoint: the state starts at the first record left.
+    /// Ends a recovery that reached the tail without a checkpoint: the state starts at the first remaining record.
     fn give_up_recovery(&mut self, shard: id::Shard) {
         let Some(followed) = self.shards.get_mut(&shard) else {
             return;
@@ -164,16 +169,16 @@
         if followed.recovery.take().is_none() {
             return;
         }
-        log::error!(shard; "older records of the shard are gone and there is no checkpoint");
+        log::error!(shard; "shard log was trimmed and has no checkpoint; state restarts at the first remaining record");
         let first = followed.first;
         let mut begun = self.begin_at(shard, first);
         begun.rank = self.rank(shard);
-        begun.fold = Shard::starting_at(shard, self.parts.shards, first);
+        begun.fold = Shard::starting_at(shard, self.deps.shards, first);
         self.shards.insert(shard, begun);
     }
 
     fn note_changes(&self, shard: id::Shard, changes: &Changes) {
-        let me = self.parts.me;
+        let me = self.deps.me;
         for change in changes {
             match change {
                 Change::Committed(job) => {
@@ -182,20 +187,20 @@
                         .and_then(|fold| fold.job(*job))
                         .map(|job| job.head.items);
                     if let Some(items) = items {
-                        self.note(shard, Some(*job), Kind::Committed { items });
+                        self.record_event(shard, Some(*job), Kind::Committed { items });
                     }
                 }
                 Change::Lease(lease::Change::Taken(holder)) if holder.writer == me => {
                     let epoch = holder.epoch;
                     log::info!(shard, epoch; "lease taken");
-                    self.note(shard, None, Kind::LeaseTaken { epoch });
+                    self.record_event(shard, None, Kind::LeaseTaken { epoch });
                 }
                 Change::Lease(lease::Change::Released(holder)) if holder.writer == me => {
                     let epoch = holder.epoch;
                     log::info!(shard, epoch; "lease released");
-                    self.note(shard, None, Kind::LeaseReleased { epoch });
+                    self.record_event(shard, None, Kind::LeaseReleased { epoch });
                 }
-                Change::Cancelled(job) => self.note(shard, Some(*job), Kind::Cancelled),
+                Change::Cancelled(job) => self.record_event(shard, Some(*job), Kind::Cancelled),
                 _ => {}
             }
         }
--- a/crates/tinbank-batch/tests/support/gate.rs
+++ b/crates/tinbank-batch/tests/support/gate.rs
@@ -1,4 +1,4 @@
-//! A gate whose passes can be withdrawn, as for a burst of online requests.
+//! A gate whose passes can be withdrawn, to simulate a burst of online requests.
 
 use std::{
     sync::{Arc, Mutex},
@@ -7,38 +7,38 @@
 
 use tinbank_admission::{Gate, Pass};
 use tinbank_base::id;
-use tinbank_batch::runner::room::Room;
+use tinbank_batch::runner::concurrency_gate::ConcurrencyGate;
 use tokio::sync::watch;
 
-/// Lets eight items into each engine, and none after [`Valve::withdraw`].
+/// Admits eight items to each engine, and none after [`WithdrawableGate::withdraw`].
 #[derive(Clone, Debug)]
-pub struct Valve {
-    room: Room,
+pub struct WithdrawableGate {
+    gate: ConcurrencyGate,
     state: Arc<Mutex<State>>,
 }
 
 #[derive(Debug, Default)]
 struct State {
     closed: bool,
-    given: Vec<watch::Sender<bool>>,
+    passes: Vec<watch::Sender<bool>>,
 }
 
-impl Default for Valve {
+impl Default for WithdrawableGate {
     fn default() -> Self {
         Self {
-            room: Room::new(8),
+            gate: ConcurrencyGate::new(8),
             state: Arc::default(),
         }
     }
 }
 
-impl Valve {
-    /// Takes back all passes and gives none.
+impl WithdrawableGate {
+    /// Withdraws all passes and admits no further items.
     pub fn withdraw(&self) {
         let mut state = self.state.lock().unwrap();
         state.closed = true;
-        for given in state.given.drain(..) {
-            given.send_replace(true);
+        for pass in state.passes.drain(..) {
+            pass.send_replace(true);
         }
     }
 
@@ -47,15 +47,15 @@
     }
 }
 
-impl Gate for Valve {
+impl Gate for WithdrawableGate {
     fn enter(&self, upstream: id::Upstream, customer: &str, now: Instant) -> Option<Pass> {
         let mut state = self.state.lock().unwrap();
         if state.closed {
             return None;
         }
-        let pass = self.room.enter(upstream, customer, now)?;
-        let (given, withdrawn) = watch::channel(false);
-        state.given.push(given);
+        let pass = self.gate.enter(upstream, customer, now)?;
+        let (withdraw, withdrawn) = watch::channel(false);
+        state.passes.push(withdraw);
         Some(Pass { withdrawn, ..pass })
     }
 
