--- a/crates/tinbank-online/src/api/answer.rs
+++ b/crates/tinbank-online/src/api/answer.rs
@@ -1,4 +1,4 @@
-//! Answers as callers get them.
+//! Encodes responses to callers.
 
 use std::time::{Duration, SystemTime};
 
@@ -19,10 +19,10 @@
     request::Request,
 };
 
-/// When a caller should ask again if nothing better is known.
-const ASK_AGAIN: Duration = Duration::from_secs(1);
+/// Retry delay for temporary failures that name none.
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// A failure, with when to ask again if asking again is safe and may help.
+/// Adds a retry time to a temporary failure whose retry is safe.
 pub(super) fn with_retry(failure: Failure) -> Failure {
     let temporary = match failure.code {
         Code::Overloaded
@@ -36,10 +36,10 @@
     if !temporary || failure.retry_at.is_some() {
         return failure;
     }
-    failure.retry_at(SystemTime::now() + ASK_AGAIN)
+    failure.retry_at(SystemTime::now() + DEFAULT_RETRY_DELAY)
 }
 
-/// A JSON answer.
+/// Returns a JSON response.
 pub(super) fn json(bytes: Bytes) -> Response<Body> {
     let mut response = Response::new(Body::from(bytes));
     let value = HeaderValue::from_static("application/json");
@@ -47,32 +47,32 @@
     response
 }
 
-/// The parts of an answer as SSE: chunks, and the end marker only if the answer is whole.
+/// Encodes the parts of an answer as server-sent events: chunks, and the end marker only if the answer is complete.
 pub(super) fn events(
     request: &Request,
     parts: impl Stream<Item = Result<Part, Failure>> + Send + 'static,
 ) -> impl Stream<Item = Bytes> + Send + 'static {
     let (id, name) = (request.id, request.name.clone());
-    parts.flat_map(move |part| stream::iter(pieces(id, &name, part)))
+    parts.flat_map(move |part| stream::iter(part_events(id, &name, part)))
 }
 
-fn pieces(id: id::Request, service: &str, part: Result<Part, Failure>) -> Vec<Bytes> {
+fn part_events(id: id::Request, service: &str, part: Result<Part, Failure>) -> Vec<Bytes> {
     match part {
-        Ok(Part::Token { index, text }) => vec![piece(&Chunk::token(id, service, index, text))],
+        Ok(Part::Token { index, text }) => vec![sse_event(&Chunk::token(id, service, index, text))],
         Ok(Part::End { reason, tokens }) => vec![
-            piece(&Chunk::finish(id, service, tokens, reason)),
+            sse_event(&Chunk::finish(id, service, tokens, reason)),
             Bytes::from_static(DONE.as_bytes()),
         ],
-        Err(error) => vec![piece(&ErrorEvent { error })],
+        Err(error) => vec![sse_event(&ErrorEvent { error })],
     }
 }
 
-fn piece<T: Serialize>(value: &T) -> Bytes {
+fn sse_event<T: Serialize>(value: &T) -> Bytes {
     event(value).expect("chunks and failures are plain data, which JSON can hold")
 }
 
-/// The parts of an answer as one JSON value.
-pub(super) async fn whole(
+/// Collects the parts of an answer into one JSON completion.
+pub(super) async fn collect(
     request: &Request,
     parts: impl Stream<Item = Result<Part, Failure>>,
 ) -> Result<Bytes, Failure> {
--- a/crates/tinbank-online/src/api/call.rs
+++ b/crates/tinbank-online/src/api/call.rs
@@ -11,14 +11,14 @@
 };
 use tinbank_server::failure::{self, Reply};
 
-use super::{Shared, accept, answer, check_ready, note_refused, request_id};
+use super::{Shared, admit, answer, check_ready, record_refused, request_id};
 use crate::{
     clock,
     request::{Caller, Request, plain},
-    run::{self, Journal},
+    run::{self, RequestTelemetry},
 };
 
-/// The path of a call.
+/// Path parameters of a call.
 #[derive(Debug, Deserialize, JsonSchema)]
 pub struct CallPath {
     /// Name of the service.
@@ -45,7 +45,7 @@
     let request = match read(&rqctx, id, &name, body) {
         Ok(request) => request,
         Err(failure) => {
-            note_refused(ctx, id, &failure);
+            record_refused(ctx, id, &failure);
             return failure::answer(Err(answer::with_retry(failure)));
         }
     };
@@ -67,21 +67,21 @@
 }
 
 async fn serve(ctx: &Shared, request: Request) -> Result<Bytes, Failure> {
-    let journal = accept(ctx, &request)?;
+    let telemetry = admit(ctx, &request)?;
     match request.claim_key() {
-        None => run::plain::run(ctx.clone(), &request, journal).await,
-        Some(key) => claimed(ctx, request, journal, key).await,
+        None => run::plain::run(ctx.clone(), &request, telemetry).await,
+        Some(key) => claimed(ctx, request, telemetry, key).await,
     }
 }
 
-/// Runs the call in a task of its own, which goes on when the caller goes away.
+/// Runs the call in its own task, which continues when the caller disconnects.
 async fn claimed(
     ctx: &Shared,
     request: Request,
-    journal: Journal,
+    telemetry: RequestTelemetry,
     key: String,
 ) -> Result<Bytes, Failure> {
-    let call = run::claimed::call(ctx.clone(), request, journal, key);
+    let call = run::claimed::call(ctx.clone(), request, telemetry, key);
     let task = ctx.tasks.spawn_on(call, &ctx.traffic);
     task.await.unwrap_or_else(|error| {
         let message = format!("the task of the request ended early: {error}");
--- a/crates/tinbank-online/src/api/chat.rs
+++ b/crates/tinbank-online/src/api/chat.rs
@@ -12,10 +12,10 @@
 };
 use tokio::sync::mpsc;
 
-use super::{Shared, accept, answer, check_ready, note_refused, request_id};
+use super::{Shared, admit, answer, check_ready, record_refused, request_id};
 use crate::{
     clock,
-    request::{Caller, Request, chat::Chat as Wanted},
+    request::{Caller, Request, chat::ChatRequest},
     run::{self, chat::Chat},
 };
 
@@ -34,58 +34,58 @@
 ) -> Result<Response<Body>, Reply> {
     let ctx = rqctx.context();
     let id = request_id(&rqctx)?;
-    let wanted = match read(&rqctx, id, body.as_bytes()) {
-        Ok(wanted) => wanted,
+    let chat_request = match read(&rqctx, id, body.as_bytes()) {
+        Ok(chat_request) => chat_request,
         Err(failure) => {
-            note_refused(ctx, id, &failure);
+            record_refused(ctx, id, &failure);
             return failure::answer(Err(answer::with_retry(failure)));
         }
     };
-    let answered = serve(ctx, wanted).await;
+    let answered = serve(ctx, chat_request).await;
     failure::answer(answered.map_err(answer::with_retry))
 }
 
-fn read(rqctx: &RequestContext<Shared>, id: id::Request, body: &[u8]) -> Result<Wanted, Failure> {
+fn read(rqctx: &RequestContext<Shared>, id: id::Request, body: &[u8]) -> Result<ChatRequest, Failure> {
     let ctx = rqctx.context();
     check_ready(ctx)?;
     let headers = rqctx.request.headers();
     let caller = Caller::read(headers, &ctx.snapshot(), clock::now())?;
-    Wanted::read(id, &caller, body)
+    ChatRequest::read(id, &caller, body)
 }
 
-async fn serve(ctx: &Shared, wanted: Wanted) -> Result<Response<Body>, Failure> {
-    let request = Arc::new(wanted.request);
-    let journal = accept(ctx, &request)?;
+async fn serve(ctx: &Shared, chat_request: ChatRequest) -> Result<Response<Body>, Failure> {
+    let request = Arc::new(chat_request.request);
+    let telemetry = admit(ctx, &request)?;
     match request.claim_key() {
         Some(key) => {
             let (sender, receiver) = mpsc::unbounded_channel();
-            let claimed = run::claimed::chat(ctx.clone(), request.clone(), journal, key, sender);
+            let claimed = run::claimed::chat(ctx.clone(), request.clone(), telemetry, key, sender);
             ctx.tasks.spawn_on(claimed, &ctx.traffic);
             let parts = stream::unfold(receiver, |mut receiver| async {
                 let part = receiver.recv().await?;
                 Some((part, receiver))
             });
-            respond(&request, wanted.stream, parts).await
+            respond(&request, chat_request.stream, parts).await
         }
         None => {
-            let chat = Chat::new(ctx.clone(), request.clone(), journal);
+            let chat = Chat::new(ctx.clone(), request.clone(), telemetry);
             let parts = stream::unfold(chat, |mut chat| async {
                 let part = chat.next().await?;
                 Some((part, chat))
             });
-            respond(&request, wanted.stream, parts).await
+            respond(&request, chat_request.stream, parts).await
         }
     }
 }
 
-/// Answers once there is a first part: a failure before it has an HTTP status of its own.
+/// Responds once the first part is available, so that an earlier failure gets its own HTTP status.
 async fn respond(
     request: &Request,
     streamed: bool,
     parts: impl Stream<Item = Result<Part, Failure>> + Send + 'static,
 ) -> Result<Response<Body>, Failure> {
     if !streamed {
-        let whole = answer::whole(request, parts).await?;
+        let whole = answer::collect(request, parts).await?;
         return Ok(answer::json(whole));
     }
     let mut parts = Box::pin(parts);
--- a/crates/tinbank-online/src/api/mod.rs
+++ b/crates/tinbank-online/src/api/mod.rs
@@ -1,4 +1,4 @@
-//! The callers' interface over HTTP.
+//! The HTTP API for callers.
 
 mod answer;
 pub mod call;
@@ -14,15 +14,15 @@
 };
 use tinbank_server::{caller, operator, readiness::State};
 
-use crate::{clock, context::Context, gate::Permit, request::Request, run::Journal};
+use crate::{clock, context::Context, gate::Permit, request::Request, run::RequestTelemetry};
 
-/// What the handlers get.
+/// The context passed to every handler.
 pub type Shared = Arc<Context>;
 
-/// The whole interface.
+/// Describes the API, with the endpoints for operators.
 ///
 /// # Errors
-/// Two endpoints have the same path; a fault of ours.
+/// Two endpoints have the same path, which is a bug.
 pub fn describe() -> Result<ApiDescription<Shared>, ApiDescriptionRegisterError> {
     let mut api = ApiDescription::new();
     api.register(chat::chat_completions)?;
@@ -31,7 +31,7 @@
     Ok(api)
 }
 
-/// The id that dropshot gave the request, which is in the answer's `X-Request-Id` as well.
+/// Parses the id that dropshot gave the request, which the response has in `X-Request-Id`.
 fn request_id(rqctx: &RequestContext<Shared>) -> Result<id::Request, Failure> {
     caller::parse_request_id(&rqctx.request_id).ok_or_else(|| {
         let message = format!("the request id {:?} can't be read", rqctx.request_id);
@@ -39,7 +39,8 @@
     })
 }
 
-/// A process without a configuration can't know any caller. One that is stopping still serves what reaches it.
+/// Refuses requests until the first configuration is loaded, without which no caller is known. A stopping process still
+/// serves.
 fn check_ready(ctx: &Context) -> Result<(), Failure> {
     match ctx.ready.state() {
         State::Starting => Err(Failure::not_run(
@@ -50,19 +51,19 @@
     }
 }
 
-/// Lets a good request in, if the customer's limits and the load allow it.
-fn accept(ctx: &Shared, request: &Request) -> Result<Journal, Failure> {
-    match Permit::get(ctx, request, clock::now()) {
-        Ok(permit) => Ok(Journal::accept(ctx.clone(), request, permit)),
+/// Admits a valid request if the customer's limits and the load allow it.
+fn admit(ctx: &Shared, request: &Request) -> Result<RequestTelemetry, Failure> {
+    match Permit::acquire(ctx, request, clock::now()) {
+        Ok(permit) => Ok(RequestTelemetry::accept(ctx.clone(), request, permit)),
         Err(failure) => {
-            note_refused(ctx, request.id, &failure);
+            record_refused(ctx, request.id, &failure);
             Err(failure)
         }
     }
 }
 
-/// Notes that a request was refused before anything was sent.
-fn note_refused(ctx: &Context, request: id::Request, failure: &Failure) {
+/// Records that a request was refused before anything was sent to an upstream.
+fn record_refused(ctx: &Context, request: id::Request, failure: &Failure) {
     let subject = Subject {
         request: Some(request),
         ..Subject::default()
--- a/crates/tinbank-online/src/clock.rs
+++ b/crates/tinbank-online/src/clock.rs
@@ -1,8 +1,8 @@
-//! The clock that deadlines are held against.
+//! The clock that deadlines are compared with.
 
 use std::time::Instant;
 
-/// Now, by tokio's clock, which tests can pause.
+/// Returns the current time of tokio's clock, which tests can pause.
 pub(crate) fn now() -> Instant {
     tokio::time::Instant::now().into_std()
 }
--- a/crates/tinbank-online/src/context.rs
+++ b/crates/tinbank-online/src/context.rs
@@ -1,4 +1,4 @@
-//! What traffic threads work with.
+//! The state shared by the request handlers.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -20,7 +20,7 @@
 
 use crate::gate::Gate;
 
-/// What the handlers share.
+/// State shared by all handlers and control tasks of the process.
 #[derive(Debug)]
 pub struct Context {
     pub(crate) writer: Writer,
@@ -33,21 +33,21 @@
     pub(crate) recorder: Recorder,
     pub(crate) ready: Flag,
     pub(crate) metrics: metrics::Handle,
-    /// Where cancels and settlements run on when their request is gone.
+    /// Runs cancels and settlements that outlive their request.
     pub(crate) traffic: Handle,
-    /// What has to end before the process may go.
+    /// Tasks that have to finish before the process exits.
     pub(crate) tasks: TaskTracker,
     pub(crate) budget: Mutex<Budget>,
     pub(crate) gate: Gate,
 }
 
 impl Context {
-    /// The configuration in force.
+    /// Returns the active configuration.
     pub(crate) fn snapshot(&self) -> Arc<Snapshot> {
         self.configuration.load_full()
     }
 
-    /// The budget of sending again, which all requests of the process share.
+    /// Locks the retry budget, which all requests of the process share.
     pub(crate) fn budget(&self) -> MutexGuard<'_, Budget> {
         self.budget.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/tinbank-online/src/control/limits.rs
+++ b/crates/tinbank-online/src/control/limits.rs
@@ -1,4 +1,4 @@
-//! Shares the limits of customers with the online processes that serve. No request waits for any of this.
+//! Divides customers' limits among the ready online processes, in the background: requests never wait for it.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,14 +13,14 @@
 
 use crate::{clock, context::Context};
 
-/// How often it is looked at what keepers have to be asked.
-const EVERY: Duration = Duration::from_millis(500);
+/// Interval at which due asks are sent to keepers.
+const ASK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long new demand is gathered, so that a burst of it costs few frames.
-const GATHER: Duration = Duration::from_millis(20);
+/// How long new demand is collected before it is sent, so that a burst needs few frames.
+const DEMAND_DEBOUNCE: Duration = Duration::from_millis(20);
 
-/// Follows which processes share the limits.
-pub(super) async fn follow(ctx: Arc<Context>, membership: Membership) {
+/// Updates the gate's hosts as online processes become ready or leave.
+pub(super) async fn track_hosts(ctx: Arc<Context>, membership: Membership) {
     let mut members = membership.watch();
     loop {
         let now = members.borrow_and_update().clone();
@@ -33,45 +33,45 @@
     }
 }
 
-/// Asks the keepers for parts of the limits that there is demand on here.
-pub(super) async fn ask(ctx: Arc<Context>, membership: Membership) {
-    let mut ticks = interval(EVERY);
+/// Asks keepers for shares of the limits in demand here, periodically and when demand rises.
+pub(super) async fn run_asks(ctx: Arc<Context>, membership: Membership) {
+    let mut ticks = interval(ASK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             _ = ticks.tick() => {}
-            () = ctx.gate.urgent() => sleep(GATHER).await,
+            () = ctx.gate.demand_changed() => sleep(DEMAND_DEBOUNCE).await,
         }
-        ask_all(&ctx, &membership.members());
+        send_asks(&ctx, &membership.members());
     }
 }
 
-/// Asks whatever keepers have to be asked now.
-pub(crate) fn ask_all(ctx: &Context, members: &Members) {
-    for (keeper, ask) in ctx.gate.asks(clock::now()) {
+/// Sends the asks that are due.
+pub(crate) fn send_asks(ctx: &Context, members: &Members) {
+    for (keeper, ask) in ctx.gate.pending_asks(clock::now()) {
         send(ctx, members, online(keeper), Message::Ask(ask));
     }
 }
 
-/// Sends a frame; one to ourselves costs none.
+/// Sends a message to a process. One to this process is applied directly.
 fn send(ctx: &Context, members: &Members, to: id::Process, message: Message) {
     if to == ctx.writer.process {
-        return told(ctx, ctx.writer, &message);
+        return on_message(ctx, ctx.writer, &message);
     }
     if let Some(member) = members.get(to) {
         ctx.peers.send_demand(member.peer, message);
     }
 }
 
-/// Takes in a frame about limits.
-pub(crate) fn told(ctx: &Context, from: Writer, message: &Message) {
+/// Handles a message about limits; only online processes take part.
+pub(crate) fn on_message(ctx: &Context, from: Writer, message: &Message) {
     if from.process.role != id::Role::Online {
         return;
     }
     let (host, now) = (from.process.host, clock::now());
     match message {
         Message::Ask(ask) => {
-            let answer = ctx.gate.asked(from, ask, now);
+            let answer = ctx.gate.on_ask(from, ask, now);
             let members = ctx.directory.members();
             if let Some(grant) = answer.grant {
                 send(ctx, &members, from.process, Message::Grant(grant));
@@ -80,8 +80,8 @@
                 send(ctx, &members, holder.process, Message::Recall(recall));
             }
         }
-        Message::Grant(grant) => ctx.gate.answered(host, grant, now),
-        Message::Recall(recall) => ctx.gate.recalled(host, recall, now),
+        Message::Grant(grant) => ctx.gate.on_grant(host, grant, now),
+        Message::Recall(recall) => ctx.gate.on_recall(host, recall, now),
     }
 }
 
--- a/crates/tinbank-online/src/control/load.rs
+++ b/crates/tinbank-online/src/control/load.rs
@@ -1,10 +1,10 @@
-//! Tells the engines' admission controllers how many online requests we have in them.
+//! Reports the number of our online requests at each engine to the engine's admission controllers.
 
 use tinbank_admission::Teller;
 use tinbank_routing::Table;
 
-/// Tells each change as it comes.
-pub(super) async fn tell(table: Table, teller: Teller) {
+/// Reports every change.
+pub(super) async fn report(table: Table, teller: Teller) {
     loop {
         for load in table.changed().await {
             teller.online(load.upstream, load.online);
--- a/crates/tinbank-online/src/control/mod.rs
+++ b/crates/tinbank-online/src/control/mod.rs
@@ -1,5 +1,4 @@
-//! What the control thread does besides the common part of all processes: it feeds the routing table and the gate, which
-//! traffic threads read.
+//! Control tasks of the online process, which update the routing table and the gate that traffic threads read.
 
 pub(crate) mod limits;
 mod load;
@@ -11,31 +10,31 @@
 use tinbank_process::{Core, hosts::Watch, upstreams};
 use tinbank_routing::Table;
 
-pub(crate) use peers::Answerer;
+pub(crate) use peers::PeerHandler;
 
 use crate::{clock, context::Context};
 
-/// Starts the control tasks on the current runtime. They end with the process.
+/// Starts the control tasks on the current runtime; they run until the process ends.
 pub(crate) fn start(core: &Core, ctx: &Arc<Context>, teller: Teller, reports_per_second: u32) {
     let table = &ctx.table;
-    core.spawn(list(core.hosts(), table.clone()));
+    core.spawn(follow_host_list(core.hosts(), table.clone()));
     upstreams::follow(core, table, reports_per_second);
-    core.spawn(load::tell(table.clone(), teller));
+    core.spawn(load::report(table.clone(), teller));
     let Some(membership) = core.membership() else {
         return;
     };
-    core.spawn(limits::follow(ctx.clone(), membership.clone()));
-    core.spawn(limits::ask(ctx.clone(), membership.clone()));
+    core.spawn(limits::track_hosts(ctx.clone(), membership.clone()));
+    core.spawn(limits::run_asks(ctx.clone(), membership.clone()));
 }
 
-/// Gives the table each new host list.
-async fn list(mut lists: Watch, table: Table) {
+/// Updates the routing table with each new host list.
+async fn follow_host_list(mut host_lists: Watch, table: Table) {
     loop {
-        let list = lists.borrow_and_update().clone();
+        let list = host_lists.borrow_and_update().clone();
         if let Some(list) = list {
             table.list(&list, clock::now());
         }
-        if lists.changed().await.is_err() {
+        if host_lists.changed().await.is_err() {
             return;
         }
     }
--- a/crates/tinbank-online/src/control/peers.rs
+++ b/crates/tinbank-online/src/control/peers.rs
@@ -1,4 +1,4 @@
-//! What is exchanged with other processes.
+//! Handles requests and messages from other processes.
 
 use std::sync::Arc;
 
@@ -18,25 +18,25 @@
 use super::limits;
 use crate::context::Context;
 
-/// Answers other processes.
+/// The handler of requests and messages from other processes.
 #[derive(Debug)]
-pub(crate) struct Answerer {
+pub(crate) struct PeerHandler {
     pub(crate) follower: Follower,
     pub(crate) ctx: Arc<Context>,
 }
 
 #[async_trait]
-impl Answer for Answerer {
+impl Answer for PeerHandler {
     async fn answer(&self, _from: Writer, request: Request) -> BoxStream<'static, Response> {
         let refusal = "an online process answers only for the configuration";
         let frames = answer::configuration_only(&self.follower, request, refusal).await;
         stream::iter(frames).boxed()
     }
 
-    /// Online processes get no credits: a frame that says so is not for us.
+    /// Ignores the message: online processes use no credits.
     fn on_credit(&self, _from: Writer, _message: credit::Message) {}
 
     fn on_demand(&self, from: Writer, message: demand::Message) {
-        limits::told(&self.ctx, from, &message);
+        limits::on_message(&self.ctx, from, &message);
     }
 }
--- a/crates/tinbank-online/src/gate.rs
+++ b/crates/tinbank-online/src/gate.rs
@@ -1,4 +1,4 @@
-//! Lets requests in as their customers' limits and the load allow. The decisions are `tinbank-routing`'s.
+//! Admits requests within their customers' limits and the load of the upstreams. `tinbank-routing` makes the decisions.
 
 use std::{
     collections::BTreeSet,
@@ -25,16 +25,16 @@
     request::{Request, Scopes},
 };
 
-/// When a shed request should come back.
-const SHED_WAIT: Duration = Duration::from_secs(2);
+/// Delay after which the caller of a shed request may retry.
+const SHED_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// What is let in at this process, and what it grants to others of the limits that it keeps.
+/// Admission control of this process, and the shares that it grants to other hosts of the limits that it keeps.
 #[derive(Debug)]
 pub(crate) struct Gate {
     state: Mutex<State>,
     keeper: Mutex<Keeper>,
-    /// Wakes who asks the keepers.
-    urgent: Notify,
+    /// Wakes the task that asks the keepers for larger shares.
+    demand_changed: Notify,
 }
 
 #[derive(Debug)]
@@ -43,7 +43,7 @@
     active: Active,
 }
 
-/// Leave for one request; it counts as running until this is dropped.
+/// The admission of one request, which counts as running until this is dropped.
 #[derive(Debug)]
 pub(crate) struct Permit {
     ctx: Arc<Context>,
@@ -52,7 +52,6 @@
 }
 
 impl Gate {
-    /// A gate that lets nothing wait: it answers at once.
     pub(crate) fn new(own: Writer, now: Instant) -> Self {
         let state = State {
             limiter: Limiter::new(own.process.host, now),
@@ -61,49 +60,49 @@
         Self {
             state: Mutex::new(state),
             keeper: Mutex::new(Keeper::new(own, now)),
-            urgent: Notify::new(),
+            demand_changed: Notify::new(),
         }
     }
 
-    /// Takes in which hosts share the limits.
+    /// Sets the hosts that share the limits.
     pub(crate) fn set_hosts(&self, hosts: BTreeSet<id::Host>, now: Instant) {
         self.keeper().set_hosts(hosts.clone(), now);
         self.state().limiter.set_hosts(hosts, now);
     }
 
-    /// Waits until there is new demand on a limit.
-    pub(crate) async fn urgent(&self) {
-        self.urgent.notified().await;
+    /// Waits until a limit needs a larger share at once.
+    pub(crate) async fn demand_changed(&self) {
+        self.demand_changed.notified().await;
     }
 
-    /// What the keepers of limits are to be asked now.
-    pub(crate) fn asks(&self, now: Instant) -> Vec<(id::Host, Ask)> {
+    /// Returns the asks that are due, by keeper.
+    pub(crate) fn pending_asks(&self, now: Instant) -> Vec<(id::Host, Ask)> {
         self.keeper().tidy(now);
         self.state().limiter.asks(now)
     }
 
-    /// Takes in what a host asks of the limits that we keep.
-    pub(crate) fn asked(&self, from: Writer, ask: &Ask, now: Instant) -> Answer {
+    /// Answers another host's ask for shares of the limits kept here.
+    pub(crate) fn on_ask(&self, from: Writer, ask: &Ask, now: Instant) -> Answer {
         self.keeper().ask(from, ask, now)
     }
 
-    /// Takes in a keeper's answer.
-    pub(crate) fn answered(&self, from: id::Host, grant: &Grant, now: Instant) {
+    /// Applies a keeper's grant.
+    pub(crate) fn on_grant(&self, from: id::Host, grant: &Grant, now: Instant) {
         let mut state = self.state();
         state.limiter.answer(from, grant, now);
-        self.wake(&state);
+        self.notify_if_urgent(&state);
     }
 
-    /// Takes in that a keeper wants to be asked again.
-    pub(crate) fn recalled(&self, from: id::Host, recall: &Recall, now: Instant) {
+    /// Applies a keeper's recall, after which its limits are asked for again.
+    pub(crate) fn on_recall(&self, from: id::Host, recall: &Recall, now: Instant) {
         let mut state = self.state();
         state.limiter.recall(from, recall, now);
-        self.wake(&state);
+        self.notify_if_urgent(&state);
     }
 
-    fn wake(&self, state: &State) {
+    fn notify_if_urgent(&self, state: &State) {
         if state.limiter.is_urgent() {
-            self.urgent.notify_one();
+            self.demand_changed.notify_one();
         }
     }
 
@@ -117,12 +116,12 @@
 }
 
 impl Permit {
-    /// Asks for leave.
+    /// Admits a request, or refuses it at once: requests are never queued.
     ///
     /// # Errors
     /// The request is over a limit, or the upstreams are overloaded and the customer is over its share. It was not run,
-    /// and the failure says when to ask again.
-    pub(crate) fn get(
+    /// and the failure says when to retry.
+    pub(crate) fn acquire(
         ctx: &Arc<Context>,
         request: &Request,
         now: Instant,
@@ -134,7 +133,7 @@
             return Err(overloaded());
         }
         let begun = state.limiter.begin(&request.scopes, now);
-        ctx.gate.wake(&state);
+        ctx.gate.notify_if_urgent(&state);
         begun.map_err(|refusal| over_limit(&customer.name, refusal, now))?;
         state.active.begin(&customer.name, customer.share);
         Ok(Self {
@@ -144,7 +143,7 @@
         })
     }
 
-    /// A token was generated.
+    /// Counts a generated token against the token limits.
     pub(crate) fn spend_token(&self) {
         if self.scopes.is_empty() {
             return;
@@ -165,7 +164,7 @@
 fn overloaded() -> Failure {
     metrics::counter!("tinbank_online_shed_total").increment(1);
     let message = "the upstreams of the service are overloaded";
-    Failure::not_run(Code::Overloaded, message).retry_at(SystemTime::now() + SHED_WAIT)
+    Failure::not_run(Code::Overloaded, message).retry_at(SystemTime::now() + SHED_RETRY_DELAY)
 }
 
 fn over_limit(customer: &str, refusal: Refusal, now: Instant) -> Failure {
--- a/crates/tinbank-online/src/lib.rs
+++ b/crates/tinbank-online/src/lib.rs
@@ -1,6 +1,6 @@
 //! Serves callers' online requests: chat completions and calls of plain services.
 //!
-//! See `docs/design/online.md` for the way of a request and the ways that were weighed.
+//! See `docs/design/online.md` for how a request is served and the alternatives considered.
 
 pub mod api;
 mod clock;
--- a/crates/tinbank-online/src/openai.rs
+++ b/crates/tinbank-online/src/openai.rs
@@ -1,21 +1,21 @@
-//! The wire forms of chat completions, as language-model clients know them.
+//! Chat completions in the OpenAI wire format.
 
 use serde::{Deserialize, Serialize};
 use tinbank_base::{id, outcome::Failure};
 
-/// A chunk of a streamed answer.
+/// A chunk of a streamed completion.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// The request id.
+    /// Id of the request.
     pub id: String,
     /// Always `chat.completion.chunk`.
     pub object: String,
-    /// The service.
+    /// Name of the service.
     pub model: String,
-    /// One choice.
+    /// Always exactly one choice.
     pub choices: Vec<ChunkChoice>,
-    /// Place of the token in the answer, from 0; for the finish, how many tokens there are. An addition of ours, by
-    /// which a client can check that nothing is missing or doubled.
+    /// Index of the token in the completion, from 0; in the last chunk, the number of tokens. An extension of the OpenAI
+    /// format, by which a client detects missing and duplicate tokens.
     pub token_index: u32,
 }
 
@@ -24,76 +24,76 @@
 pub struct ChunkChoice {
     /// Always 0.
     pub index: u32,
-    /// What is added.
+    /// The text that this chunk adds.
     pub delta: Delta,
-    /// Why the answer ended, in the last chunk.
+    /// Why generation ended, in the last chunk.
     pub finish_reason: Option<String>,
 }
 
-/// What a chunk adds.
+/// The increment of a chunk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
     /// `assistant`, in the first chunk.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub role: Option<String>,
-    /// Text.
+    /// Text of the token.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub content: Option<String>,
 }
 
-/// An error in the midst of a stream. No end marker follows it.
+/// An error in the middle of a stream. No end marker follows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorEvent {
-    /// What happened.
+    /// The failure, as in a response that is not streamed.
     pub error: Failure,
 }
 
-/// A whole answer.
+/// A completion that is not streamed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Completion {
-    /// The request id.
+    /// Id of the request.
     pub id: String,
     /// Always `chat.completion`.
     pub object: String,
-    /// The service.
+    /// Name of the service.
     pub model: String,
-    /// One choice.
+    /// Always exactly one choice.
     pub choices: Vec<Choice>,
-    /// Counts.
+    /// Token counts.
     pub usage: Usage,
 }
 
-/// The choice of a whole answer.
+/// The choice of a [`Completion`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Choice {
     /// Always 0.
     pub index: u32,
-    /// The answer.
+    /// The generated message.
     pub message: Message,
-    /// Why it ended.
+    /// Why generation ended.
     pub finish_reason: String,
 }
 
-/// A message.
+/// A generated message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// `assistant`.
+    /// Always `assistant`.
     pub role: String,
-    /// Text.
+    /// Text of the message.
     pub content: String,
 }
 
-/// Counts of a whole answer.
+/// Token counts of a [`Completion`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens of the answer.
+    /// Number of generated tokens.
     pub completion_tokens: u32,
 }
 
 const ASSISTANT: &str = "assistant";
 
 impl Chunk {
-    /// The chunk of one token.
+    /// Returns the chunk of one token.
     pub fn token(request: id::Request, service: &str, index: u32, text: String) -> Self {
         let role = (index == 0).then(|| ASSISTANT.to_owned());
         let delta = Delta {
@@ -103,7 +103,7 @@
         Self::new(request, service, index, delta, None)
     }
 
-    /// The last chunk, before the end marker.
+    /// Returns the last chunk, which precedes the end marker.
     pub fn finish(request: id::Request, service: &str, tokens: u32, reason: String) -> Self {
         Self::new(request, service, tokens, Delta::default(), Some(reason))
     }
@@ -130,7 +130,7 @@
 }
 
 impl Completion {
-    /// A whole answer.
+    /// Returns the completion of a request.
     pub fn new(
         request: id::Request,
         service: &str,
--- a/crates/tinbank-online/src/relay.rs
+++ b/crates/tinbank-online/src/relay.rs
@@ -1,25 +1,25 @@
-//! Checks that the parts of an answer, possibly from several engines in turn, make up one whole. Pure.
+//! Checks that the parts of an answer, possibly from several engines in turn, are complete and in order.
 
 use tinbank_base::platform::upstream::{Kind, Part};
 
-/// What has been passed on of one answer.
+/// How much of one answer has been relayed to the caller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Relay {
     next: u32,
 }
 
 impl Relay {
-    /// Number of tokens that the caller has; a resumed engine goes on with this index.
+    /// Returns the number of tokens relayed, which is the index that another engine resumes from.
     pub fn next(&self) -> u32 {
         self.next
     }
 
-    /// Takes in a part and returns it if it is the one that comes next.
+    /// Returns the part if it is the next one of the answer.
     ///
     /// # Errors
-    /// A token out of order, or an end marker that counts other than the caller got: the answer is not ours, or not
-    /// whole, and the part must not reach the caller.
-    pub fn take(&mut self, part: Part) -> Result<Part, Kind> {
+    /// A token is out of order, or the end marker's count differs from the tokens relayed: the answer belongs to another
+    /// request or is incomplete, and the part must not reach the caller.
+    pub fn accept(&mut self, part: Part) -> Result<Part, Kind> {
         match &part {
             Part::Token { index, .. } if *index != self.next => Err(Kind::Crossed(format!(
                 "token {index} in place of {}",
--- a/crates/tinbank-online/src/request/caller.rs
+++ b/crates/tinbank-online/src/request/caller.rs
@@ -1,4 +1,4 @@
-//! Who calls, and what the headers say.
+//! Authenticates callers and reads request headers.
 
 use std::{
     sync::Arc,
@@ -15,9 +15,9 @@
 use tinbank_routing::limit::{Scope, scope::Subject};
 use tinbank_server::caller;
 
-use super::{Scopes, bad};
+use super::{Scopes, bad_request};
 
-/// A caller with a known key.
+/// An authenticated caller and its request's headers.
 #[derive(Clone, Debug)]
 pub(crate) struct Caller {
     pub(crate) customer: Arc<Customer>,
@@ -28,9 +28,9 @@
     stream: Option<String>,
 }
 
-/// What the caller wants to use.
+/// The service of a request, with what its headers override.
 #[derive(Clone, Debug)]
-pub(crate) struct Wanted {
+pub(crate) struct ResolvedService {
     pub(crate) name: id::Service,
     pub(crate) service: Arc<Service>,
     pub(crate) deadline: Instant,
@@ -39,7 +39,7 @@
 }
 
 impl Caller {
-    /// Reads the headers and looks the key up.
+    /// Reads the headers and looks up the customer by its key.
     pub(crate) fn read(
         headers: &HeaderMap,
         snapshot: &Snapshot,
@@ -60,8 +60,8 @@
         })
     }
 
-    /// The service that the `Tinbank-Stream` header or the name given means.
-    pub(crate) fn want(&self, name: Option<&str>, kind: Kind) -> Result<Wanted, Failure> {
+    /// Resolves the service from the `Tinbank-Stream` header or the given name.
+    pub(crate) fn resolve_service(&self, name: Option<&str>, kind: Kind) -> Result<ResolvedService, Failure> {
         let (name, stream_timeout) = self.service_name(name)?;
         let service = self.customer.services.get(&name).ok_or_else(|| {
             let message = format!("there is no service {name:?} for this customer");
@@ -71,7 +71,7 @@
             return Err(wrong_kind(&name, service.kind));
         }
         let timeout = stream_timeout.unwrap_or(service.timeout);
-        Ok(Wanted {
+        Ok(ResolvedService {
             deadline: self.deadline.unwrap_or(self.now + timeout),
             repeatable: self.repeatable.unwrap_or(service.repeatable),
             service: service.clone(),
@@ -107,7 +107,7 @@
     fn service_name(&self, name: Option<&str>) -> Result<(id::Service, Option<Duration>), Failure> {
         let Some(stream) = &self.stream else {
             let name = name.ok_or_else(|| {
-                bad("model: is missing")
+                bad_request("model: is missing")
                     .help("name the service in `model` or a stream in `Tinbank-Stream`")
             })?;
             return Ok((name.to_owned(), None));
@@ -119,14 +119,14 @@
         })?;
         if found.traffic != Traffic::Online {
             let message = format!("Tinbank-Stream: the stream {stream:?} carries batch jobs");
-            return Err(bad(message).help("post its jobs to /v1/batches"));
+            return Err(bad_request(message).help("post its jobs to /v1/batches"));
         }
         if name.is_some_and(|name| name != found.service) {
             let message = format!(
                 "model: the stream {stream:?} uses the service {:?}",
                 found.service
             );
-            return Err(bad(message).help("leave `model` out or name that service"));
+            return Err(bad_request(message).help("leave `model` out or name that service"));
         }
         Ok((found.service.clone(), found.timeout))
     }
@@ -137,5 +137,5 @@
         Kind::Engine => ("a model service", "use POST /v1/chat/completions"),
         Kind::Plain => ("a plain service", "use POST /v1/services/{service}/call"),
     };
-    bad(format!("{name:?} is {what}")).help(help)
+    bad_request(format!("{name:?} is {what}")).help(help)
 }
--- a/crates/tinbank-online/src/request/chat.rs
+++ b/crates/tinbank-online/src/request/chat.rs
@@ -1,50 +1,50 @@
-//! Reads chat completions.
+//! Parses chat completion requests.
 
 use bytes::Bytes;
 use serde_json::{Map, Value};
 use tinbank_base::{id, outcome::Failure, platform::hosts::Kind};
 use tinbank_routing::prefix;
 
-use super::{Caller, Findings, Request, caller::Wanted, unreadable};
+use super::{Caller, Findings, Request, caller::ResolvedService, invalid_json};
 
-/// A chat completion that was found good.
+/// A valid chat completion request.
 #[derive(Clone, Debug)]
-pub(crate) struct Chat {
+pub(crate) struct ChatRequest {
     pub(crate) request: Request,
-    /// Whether the caller wants the answer as it comes.
+    /// Whether the caller wants a streamed answer.
     pub(crate) stream: bool,
 }
 
-impl Chat {
-    /// Checks a body and finds the service.
+impl ChatRequest {
+    /// Validates a body and resolves its service.
     pub(crate) fn read(id: id::Request, caller: &Caller, body: &[u8]) -> Result<Self, Failure> {
         let mut fields: Map<String, Value> =
-            serde_json::from_slice(body).map_err(|error| unreadable(&error))?;
+            serde_json::from_slice(body).map_err(|error| invalid_json(&error))?;
         let model = fields.get("model").and_then(Value::as_str);
         let mut findings = Findings::default();
         check(&fields, &mut findings);
-        findings.check()?;
-        let wanted = caller.want(model, Kind::Engine)?;
+        findings.into_result()?;
+        let resolved = caller.resolve_service(model, Kind::Engine)?;
         let stream = fields
             .get("stream")
             .and_then(Value::as_bool)
             .unwrap_or(false);
-        limit_tokens(&mut fields, &wanted)?;
-        fields.insert("model".to_owned(), wanted.name.as_str().into());
-        // How the caller wants the answer is no part of the work, so that a resend may want it otherwise.
+        limit_tokens(&mut fields, &resolved)?;
+        fields.insert("model".to_owned(), resolved.name.as_str().into());
+        // Not part of the claimed body, so that a retry with the same idempotency key may choose another format.
         fields.remove("stream");
         let body = Bytes::from(Value::Object(fields).to_string());
         let request = Request {
             id,
             customer: caller.customer.clone(),
-            prefix: prefix::of_body(&wanted.name, &body),
-            name: wanted.name,
-            service: wanted.service,
+            prefix: prefix::of_body(&resolved.name, &body),
+            name: resolved.name,
+            service: resolved.service,
             body,
-            deadline: wanted.deadline,
-            repeatable: wanted.repeatable,
+            deadline: resolved.deadline,
+            repeatable: resolved.repeatable,
             key: caller.key.clone(),
-            scopes: wanted.scopes,
+            scopes: resolved.scopes,
         };
         Ok(Self { request, stream })
     }
@@ -90,18 +90,18 @@
     }
 }
 
-/// An answer is never longer than the service allows.
-fn limit_tokens(fields: &mut Map<String, Value>, wanted: &Wanted) -> Result<(), Failure> {
-    let allowed = u64::from(wanted.service.max_tokens);
-    let asked = fields.get("max_tokens").and_then(Value::as_u64);
+/// Sets `max_tokens` to the service's maximum if it is missing, and reports it if it is larger.
+fn limit_tokens(fields: &mut Map<String, Value>, resolved: &ResolvedService) -> Result<(), Failure> {
+    let allowed = u64::from(resolved.service.max_tokens);
+    let requested = fields.get("max_tokens").and_then(Value::as_u64);
     let mut findings = Findings::default();
-    if asked.is_some_and(|asked| asked > allowed) {
+    if requested.is_some_and(|requested| requested > allowed) {
         findings.add(
             "max_tokens",
             &format!("is above {allowed}, which this service allows"),
         );
     }
-    findings.check()?;
-    fields.insert("max_tokens".to_owned(), asked.unwrap_or(allowed).into());
+    findings.into_result()?;
+    fields.insert("max_tokens".to_owned(), requested.unwrap_or(allowed).into());
     Ok(())
 }
--- a/crates/tinbank-online/src/request/plain.rs
+++ b/crates/tinbank-online/src/request/plain.rs
@@ -1,32 +1,32 @@
-//! Reads calls of plain services.
+//! Parses calls of plain services.
 
 use bytes::Bytes;
 use serde::de::IgnoredAny;
 use tinbank_base::{id, outcome::Failure, platform::hosts::Kind};
 use tinbank_routing::prefix;
 
-use super::{Caller, Request, unreadable};
+use super::{Caller, Request, invalid_json};
 
-/// Checks a body, which may be any JSON, and finds the service.
+/// Validates a body, which may be any JSON, and resolves the service.
 pub(crate) fn read(
     id: id::Request,
     caller: &Caller,
     name: &str,
     body: Bytes,
 ) -> Result<Request, Failure> {
-    let wanted = caller.want(Some(name), Kind::Plain)?;
-    serde_json::from_slice::<IgnoredAny>(&body).map_err(|error| unreadable(&error))?;
+    let resolved = caller.resolve_service(Some(name), Kind::Plain)?;
+    serde_json::from_slice::<IgnoredAny>(&body).map_err(|error| invalid_json(&error))?;
     Ok(Request {
         id,
         customer: caller.customer.clone(),
-        // Plain services have no prefix cache: spreading by the request's id balances them.
-        prefix: prefix::of(&wanted.name, &id.to_be_bytes()),
-        name: wanted.name,
-        service: wanted.service,
+        // Plain services have no prefix cache, so calls are distributed by request id.
+        prefix: prefix::of(&resolved.name, &id.to_be_bytes()),
+        name: resolved.name,
+        service: resolved.service,
         body,
-        deadline: wanted.deadline,
-        repeatable: wanted.repeatable,
+        deadline: resolved.deadline,
+        repeatable: resolved.repeatable,
         key: caller.key.clone(),
-        scopes: wanted.scopes,
+        scopes: resolved.scopes,
     })
 }
--- a/crates/tinbank-online/src/run/attempt.rs
+++ b/crates/tinbank-online/src/run/attempt.rs
@@ -1,4 +1,4 @@
-//! One sending of a request to one upstream.
+//! One attempt to run a request at one upstream.
 
 use std::sync::Arc;
 
@@ -11,11 +11,11 @@
 
 use crate::{clock, context::Context};
 
-/// A request at an upstream. Dropped while the work may still run there, it cancels the work, whatever the reason: the
-/// caller went away, the deadline passed, or the answer can't be trusted.
+/// A request at an upstream. Dropping it while the upstream may still work on the request cancels that work: the caller
+/// disconnected, the deadline passed, or the answer was invalid.
 pub(crate) struct Attempt {
     ctx: Arc<Context>,
-    /// Each attempt has an id of its own, so that a late cancel or answer of one can't be taken for another's.
+    /// Differs for each attempt, so that a late cancel or answer is not mistaken for another attempt's.
     id: id::Request,
     choice: Option<Choice>,
     target: Target,
@@ -23,7 +23,7 @@
 }
 
 impl Attempt {
-    /// The attempt with the given number, from 0, of a request.
+    /// Creates the attempt with the given number, from 0, of a request.
     pub(crate) fn new(
         ctx: Arc<Context>,
         request: id::Request,
@@ -47,12 +47,12 @@
         self.target
     }
 
-    /// From now on the work may run at the upstream, which has to be told when nobody wants it any more.
+    /// Marks the request as sent: dropping the attempt cancels it from now on.
     pub(crate) fn arm(&mut self) {
         self.armed = true;
     }
 
-    /// The upstream has given its whole answer.
+    /// Records that the upstream has answered completely.
     pub(crate) fn succeed(mut self) {
         self.armed = false;
         if let Some(choice) = &self.choice {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The attempt failed.
+    /// Records that the attempt failed.
     pub(crate) fn fail(mut self, error: &upstream::Error) {
         if error.ran == Ran::No {
             self.armed = false;
@@ -86,10 +86,10 @@
                     request = id::format_wide(id).as_str(),
                     upstream = target.upstream,
                     reason = error.to_string().as_str();
-                    "an upstream could not be told to stop"
+                    "failed to cancel a request at an upstream"
                 );
             }
-            // It counts as in flight until the upstream has been told.
+            // The request counts as in flight until the cancel is done.
             drop(choice);
         };
         self.ctx.tasks.spawn_on(cancel, &self.ctx.traffic);
--- a/crates/tinbank-online/src/run/chat.rs
+++ b/crates/tinbank-online/src/run/chat.rs
@@ -1,4 +1,4 @@
-//! Runs a chat completion: streams its parts, and goes on at another engine when one is lost.
+//! Runs a chat completion: streams its parts, and resumes at another engine when one fails.
 
 use std::{
     sync::Arc,
@@ -19,14 +19,14 @@
 };
 use tokio::time::timeout_at;
 
-use super::{Attempt, Journal, patience::Patience};
+use super::{Attempt, RequestTelemetry, stall_timeout::StallTimeout};
 use crate::{clock, context::Context, relay::Relay, request::Request};
 
 /// A chat completion in flight.
 pub(crate) struct Chat {
     ctx: Arc<Context>,
     request: Arc<Request>,
-    journal: Journal,
+    telemetry: RequestTelemetry,
     attempts: Attempts,
     tried: SmallVec<[id::Upstream; 4]>,
     relay: Relay,
@@ -37,22 +37,22 @@
 struct Running {
     attempt: Attempt,
     parts: Parts,
-    patience: Patience,
+    stall_timeout: StallTimeout,
 }
 
-/// Why there is no next part.
-enum Trouble {
+/// Why an attempt yielded no part.
+enum AttemptError {
     /// No upstream can be chosen.
-    Refused(Failure),
-    /// The attempt failed.
+    NoUpstream(Failure),
+    /// The upstream failed.
     Upstream(upstream::Error),
 }
 
 impl Chat {
-    pub(crate) fn new(ctx: Arc<Context>, request: Arc<Request>, journal: Journal) -> Self {
+    pub(crate) fn new(ctx: Arc<Context>, request: Arc<Request>, telemetry: RequestTelemetry) -> Self {
         Self {
             attempts: Attempts::new(request.repeatable, request.deadline),
-            journal,
+            telemetry,
             ctx,
             request,
             tried: SmallVec::new(),
@@ -62,16 +62,16 @@
         }
     }
 
-    /// The next part of the answer; after [`Part::End`] or a failure, `None`.
+    /// Returns the next part of the answer, or `None` after [`Part::End`] or a failure.
     pub(crate) async fn next(&mut self) -> Option<Result<Part, Failure>> {
         if self.ended {
             return None;
         }
         let part = self.advance().await;
         match &part {
-            Ok(Part::Token { .. }) => self.journal.token(),
-            Ok(Part::End { tokens, .. }) => self.journal.answered(*tokens),
-            Err(failure) => self.journal.failed(failure),
+            Ok(Part::Token { .. }) => self.telemetry.token(),
+            Ok(Part::End { tokens, .. }) => self.telemetry.answered(*tokens),
+            Err(failure) => self.telemetry.failed(failure),
         }
         self.ended = !matches!(part, Ok(Part::Token { .. }));
         Some(part)
@@ -80,26 +80,26 @@
     async fn advance(&mut self) -> Result<Part, Failure> {
         loop {
             let step = match &mut self.running {
-                None => self.begin().await.map(|()| None),
+                None => self.start_attempt().await.map(|()| None),
                 Some(running) => {
-                    let part = read(running, &mut self.relay, self.request.deadline).await;
-                    part.map(Some).map_err(Trouble::Upstream)
+                    let part = read_part(running, &mut self.relay, self.request.deadline).await;
+                    part.map(Some).map_err(AttemptError::Upstream)
                 }
             };
             match step {
                 Ok(None) => {}
                 Ok(Some(part)) => {
-                    self.progress(&part);
+                    self.on_part(&part);
                     return Ok(part);
                 }
-                Err(Trouble::Refused(refusal)) => return Err(self.attempts.exhausted(refusal)),
-                Err(Trouble::Upstream(error)) => self.fail(&error)?,
+                Err(AttemptError::NoUpstream(refusal)) => return Err(self.attempts.exhausted(refusal)),
+                Err(AttemptError::Upstream(error)) => self.on_attempt_failed(&error)?,
             }
         }
     }
 
-    /// Sends the request to an upstream that was not tried yet.
-    async fn begin(&mut self) -> Result<(), Trouble> {
+    /// Sends the request to an upstream that has not been tried.
+    async fn start_attempt(&mut self) -> Result<(), AttemptError> {
         let ask = Ask {
             service: &self.request.service,
             traffic: Traffic::Online,
@@ -107,10 +107,10 @@
             tried: self.tried.clone(),
         };
         let choice = self.ctx.table.choose(&ask, clock::now());
-        let choice = choice.map_err(Trouble::Refused)?;
+        let choice = choice.map_err(AttemptError::NoUpstream)?;
         let target = choice.target;
         self.tried.push(target.upstream);
-        self.journal.routed(target.upstream, choice.reason);
+        self.telemetry.routed(target.upstream, choice.reason);
         let number = self.attempts.sent;
         self.attempts.send(&mut self.ctx.budget());
         let mut attempt = Attempt::new(self.ctx.clone(), self.request.id, number, choice);
@@ -123,27 +123,27 @@
         };
         attempt.arm();
         let now = clock::now();
-        let patience = Patience::new(self.request.repeatable, self.request.deadline, now);
-        let until = patience.until(self.request.deadline, now);
+        let stall_timeout = StallTimeout::new(self.request.repeatable, self.request.deadline, now);
+        let until = stall_timeout.next_part_deadline(self.request.deadline, now);
         let answer = timeout_at(until.into(), self.ctx.upstreams.chat(target, call)).await;
-        let late = |_| Err(silence(target.upstream, until, self.request.deadline));
-        match answer.unwrap_or_else(late) {
+        let on_timeout = |_| Err(timeout_error(target.upstream, until, self.request.deadline));
+        match answer.unwrap_or_else(on_timeout) {
             Ok(parts) => {
                 self.running = Some(Running {
                     attempt,
                     parts,
-                    patience,
+                    stall_timeout,
                 });
                 Ok(())
             }
             Err(error) => {
                 attempt.fail(&error);
-                Err(Trouble::Upstream(error))
+                Err(AttemptError::Upstream(error))
             }
         }
     }
 
-    fn progress(&mut self, part: &Part) {
+    fn on_part(&mut self, part: &Part) {
         match part {
             Part::Token { .. } => self.attempts.progress(),
             Part::End { .. } => {
@@ -154,8 +154,8 @@
         }
     }
 
-    /// Decides whether the request goes on elsewhere.
-    fn fail(&mut self, error: &upstream::Error) -> Result<(), Failure> {
+    /// Returns `Ok` if the request may be retried at another upstream.
+    fn on_attempt_failed(&mut self, error: &upstream::Error) -> Result<(), Failure> {
         if let Some(running) = self.running.take() {
             running.attempt.fail(error);
         }
@@ -169,15 +169,15 @@
             Decision::Stop(failure) => Err(failure),
             Decision::Again => {
                 let (sent, from) = (self.attempts.sent, self.relay.next());
-                self.journal.retried(error, sent, from);
+                self.telemetry.retried(error, sent, from);
                 Ok(())
             }
         }
     }
 }
 
-/// The next part of one engine's answer, if it is the one that the caller lacks.
-async fn read(
+/// Reads the next part of an engine's answer and checks its place in the sequence.
+async fn read_part(
     running: &mut Running,
     relay: &mut Relay,
     deadline: Instant,
@@ -188,19 +188,19 @@
         ran: Ran::Unknown,
         kind,
     };
-    let until = running.patience.until(deadline, clock::now());
+    let until = running.stall_timeout.next_part_deadline(deadline, clock::now());
     let next = timeout_at(until.into(), running.parts.next()).await;
     let part = match next {
-        Err(_) => return Err(silence(upstream, until, deadline)),
+        Err(_) => return Err(timeout_error(upstream, until, deadline)),
         Ok(None) => return Err(error(Kind::Cut("no end marker".to_owned()))),
         Ok(Some(part)) => part?,
     };
-    running.patience.heard();
-    relay.take(part).map_err(error)
+    running.stall_timeout.on_part();
+    relay.accept(part).map_err(error)
 }
 
-/// Nothing came in time: the caller's time is over, or the engine stands still.
-fn silence(upstream: id::Upstream, until: Instant, deadline: Instant) -> upstream::Error {
+/// Returns the error for a part that did not arrive in time: the caller's deadline has passed, or the engine has stalled.
+fn timeout_error(upstream: id::Upstream, until: Instant, deadline: Instant) -> upstream::Error {
     let kind = if until < deadline {
         Kind::Cut("it stands still".to_owned())
     } else {
--- a/crates/tinbank-online/src/run/claim.rs
+++ b/crates/tinbank-online/src/run/claim.rs
@@ -1,4 +1,4 @@
-//! Claims of requests that run at most once, at the owner of their work shard. See `docs/design/online.md`.
+//! Claims requests that run at most once, at the owner of their work shard. See `docs/design/online.md`.
 
 use std::{
     net::SocketAddr,
@@ -21,25 +21,25 @@
 
 use crate::{clock, context::Context, request::Request};
 
-/// Longest time that a claim may take; what is left of the caller's time is for the request itself.
-const CLAIM_TIME: Duration = Duration::from_secs(5);
-/// Longest time that one peer has to answer.
-const ASK_TIME: Duration = Duration::from_secs(2);
-/// How long the settlement of a claim is tried. After it the owner of the shard settles it as unknown.
-const SETTLE_TIME: Duration = Duration::from_secs(30);
-/// Wait before the next try when no peer could answer.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Timeout of a claim, which leaves the rest of the caller's time for the request itself.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(5);
+/// Response timeout of one peer.
+const PEER_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long settling a claim is retried. Afterwards the owner of the shard settles it as unknown.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Delay before the next attempt when no peer gave a final answer.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What becomes of a request with an idempotency key.
+/// The outcome of claiming a request.
 #[derive(Debug)]
-pub(crate) enum Start {
-    /// It is ours to run. What comes of it has to be settled.
-    Run(Claim),
-    /// It has run before; this is its stored answer.
+pub(crate) enum ClaimOutcome {
+    /// The request is to be run here, and its result settled.
+    Won(Claim),
+    /// The request has run before; this is its stored answer.
     Stored(Bytes),
 }
 
-/// A claim that was won.
+/// A claim held by this process.
 #[derive(Debug)]
 pub(crate) struct Claim {
     ctx: Arc<Context>,
@@ -50,25 +50,25 @@
 /// Claims a request before it is sent.
 ///
 /// # Errors
-/// The failure that the caller gets. Nothing was sent to an upstream.
-pub(crate) async fn begin(
+/// The failure to return to the caller. Nothing was sent to an upstream.
+pub(crate) async fn acquire(
     ctx: &Arc<Context>,
     request: &Request,
     key: &str,
-) -> Result<Start, Failure> {
+) -> Result<ClaimOutcome, Failure> {
     let claim = Claim {
         ctx: ctx.clone(),
         key: placement::claim_key(&request.customer.name, key),
         request: request.id,
     };
-    let until = request.deadline.min(clock::now() + CLAIM_TIME);
-    let frame = Frame::Claim(record(&claim, request));
-    match ask(ctx, claim.key, &frame, until).await {
-        Some(Response::Claimed(Claimed::Won)) => Ok(Start::Run(claim)),
-        Some(Response::Claimed(claimed)) => other(claimed).map(Start::Stored),
+    let until = request.deadline.min(clock::now() + CLAIM_TIMEOUT);
+    let frame = Frame::Claim(claim_record(&claim, request));
+    match ask_owner(ctx, claim.key, &frame, until).await {
+        Some(Response::Claimed(Claimed::Won)) => Ok(ClaimOutcome::Won(claim)),
+        Some(Response::Claimed(claimed)) => earlier_outcome(claimed).map(ClaimOutcome::Stored),
         answer => {
-            let failure = unclaimed(answer);
-            // The claim may have been made all the same: it is freed, so that a resend may run.
+            let failure = claim_failure(answer);
+            // The claim may have been stored although its answer was lost: release it, so that a retry may run.
             claim.settle(Err(failure.clone()));
             Err(failure)
         }
@@ -76,7 +76,7 @@
 }
 
 impl Claim {
-    /// Stores what came of the request, in the background: the process does not stop before it is done.
+    /// Stores the result of the request in the background. The process does not stop before this is done.
     pub(crate) fn settle(self, answer: Result<Bytes, Failure>) {
         let settled = claim::Settled {
             key: self.key,
@@ -86,14 +86,14 @@
         };
         let (ctx, key, request) = (self.ctx.clone(), self.key, self.request);
         let settle = async move {
-            let until = clock::now() + SETTLE_TIME;
-            let answer = ask(&ctx, key, &Frame::Settle(settled), until).await;
+            let until = clock::now() + SETTLE_TIMEOUT;
+            let answer = ask_owner(&ctx, key, &Frame::Settle(settled), until).await;
             if !matches!(answer, Some(Response::Settled(true))) {
                 log::warn!(
                     event = "settlement_failed",
                     request = id::format_wide(request).as_str(),
                     answer:? = answer;
-                    "the outcome of a claimed request could not be stored; a resend will be told that it is unknown"
+                    "the outcome of a claimed request could not be stored; a retry gets an unknown outcome"
                 );
             }
         };
@@ -101,7 +101,7 @@
     }
 }
 
-fn record(claim: &Claim, request: &Request) -> claim::Claim {
+fn claim_record(claim: &Claim, request: &Request) -> claim::Claim {
     let now = SystemTime::now();
     let left = request.deadline.saturating_duration_since(clock::now());
     claim::Claim {
@@ -114,8 +114,8 @@
     }
 }
 
-/// What the caller gets when the claim went to an earlier request.
-fn other(claimed: Claimed) -> Result<Bytes, Failure> {
+/// Returns the answer for a request whose key was claimed by an earlier request.
+fn earlier_outcome(claimed: Claimed) -> Result<Bytes, Failure> {
     match claimed {
         Claimed::Settled(Ok(answer)) => Ok(answer),
         Claimed::Settled(Err(stored)) => Err(stored.into()),
@@ -136,8 +136,8 @@
     }
 }
 
-/// Without a claim nothing is sent.
-fn unclaimed(answer: Option<Response>) -> Failure {
+/// Returns the failure for a request that could not be claimed.
+fn claim_failure(answer: Option<Response>) -> Failure {
     let message = match answer {
         Some(Response::Failed { message, .. }) => message,
         _ => "no owner of the work shard could be reached".to_owned(),
@@ -148,32 +148,32 @@
     )
 }
 
-/// Asks the owner of a key's shard, as the peers point to it. Asking again is harmless: the claim's request and claimer
-/// make it the same. `None` if nobody answered in time.
-async fn ask(ctx: &Context, key: claim::Key, frame: &Frame, until: Instant) -> Option<Response> {
+/// Sends a frame to the owner of a key's shard until it answers. Claims are idempotent by request id and claimer, so
+/// repeats are safe. Returns `None` if there was no final answer in time.
+async fn ask_owner(ctx: &Context, key: claim::Key, frame: &Frame, until: Instant) -> Option<Response> {
     let shard = placement::shard_of_claim(key, ctx.shards);
     loop {
-        if let Some(answer) = round(ctx, shard, frame, until).await {
+        if let Some(answer) = ask_members(ctx, shard, frame, until).await {
             return Some(answer);
         }
-        if clock::now() + PAUSE >= until {
+        if clock::now() + RETRY_INTERVAL >= until {
             return None;
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_INTERVAL).await;
     }
 }
 
-/// Asks members in rank, and those that they name, until one gives a final word.
-async fn round(ctx: &Context, shard: id::Shard, frame: &Frame, until: Instant) -> Option<Response> {
+/// Asks the shard's candidate owners in order of rank, and the owners that they name, until one gives a final answer.
+async fn ask_members(ctx: &Context, shard: id::Shard, frame: &Frame, until: Instant) -> Option<Response> {
     let members = ctx.directory.members();
-    let mut waiting = ranked(&members, shard);
-    let mut asked: SmallVec<[SocketAddr; 4]> = SmallVec::new();
+    let mut waiting = owner_candidates(&members, shard);
+    let mut contacted: SmallVec<[SocketAddr; 4]> = SmallVec::new();
     while let Some(to) = waiting.pop() {
-        if asked.contains(&to) || clock::now() >= until {
+        if contacted.contains(&to) || clock::now() >= until {
             continue;
         }
-        asked.push(to);
-        let answer_by = until.min(clock::now() + ASK_TIME);
+        contacted.push(to);
+        let answer_by = until.min(clock::now() + PEER_TIMEOUT);
         let Ok(frames) = ctx.peers.ask(to, frame.clone(), answer_by).await else {
             continue;
         };
@@ -188,8 +188,8 @@
     None
 }
 
-/// Peer addresses of the batch processes, the most probable owner last.
-fn ranked(members: &Members, shard: id::Shard) -> Vec<SocketAddr> {
+/// Returns the peer addresses of the batch processes, the most likely owner last.
+fn owner_candidates(members: &Members, shard: id::Shard) -> Vec<SocketAddr> {
     let ready = members.ready(id::Role::Batch);
     let ranked: Vec<&Member> = rendezvous::rank(ready, rendezvous::Key::Shard(shard));
     ranked.iter().rev().map(|member| member.peer).collect()
--- a/crates/tinbank-online/src/run/claimed.rs
+++ b/crates/tinbank-online/src/run/claimed.rs
@@ -1,6 +1,5 @@
-//! Runs requests that are claimed first.
-//!
-//! They run in tasks of their own: when the caller goes away the work still goes on, so that a resend finds its answer.
+//! Runs requests that have to be claimed, in their own tasks: they finish even if the caller disconnects, so that a retry
+//! gets the stored answer.
 
 use std::sync::Arc;
 
@@ -12,35 +11,36 @@
 use tokio::sync::mpsc::UnboundedSender;
 
 use super::{
-    Journal,
+    RequestTelemetry,
     chat::Chat,
-    claim::{self, Start},
+    claim::{self, ClaimOutcome},
     plain,
 };
 use crate::{context::Context, openai::Completion, request::Request};
 
-/// Claims and runs a chat completion, and passes its parts on. What is sent is bounded by the service's longest answer.
+/// Claims and runs a chat completion, and sends its parts to the channel, whose length is bounded by the service's
+/// `max_tokens`.
 pub(crate) async fn chat(
     ctx: Arc<Context>,
     request: Arc<Request>,
-    mut journal: Journal,
+    mut telemetry: RequestTelemetry,
     key: String,
     parts: UnboundedSender<Result<Part, Failure>>,
 ) {
-    let claim = match claim::begin(&ctx, &request, &key).await {
-        Ok(Start::Run(claim)) => claim,
-        Ok(Start::Stored(answer)) => {
+    let claim = match claim::acquire(&ctx, &request, &key).await {
+        Ok(ClaimOutcome::Won(claim)) => claim,
+        Ok(ClaimOutcome::Stored(answer)) => {
             for part in replay(&answer) {
-                pass(&parts, part);
+                forward(&parts, part);
             }
-            return journal.replayed();
+            return telemetry.replayed();
         }
         Err(failure) => {
-            journal.failed(&failure);
-            return pass(&parts, Err(failure));
+            telemetry.failed(&failure);
+            return forward(&parts, Err(failure));
         }
     };
-    let mut chat = Chat::new(ctx, request.clone(), journal);
+    let mut chat = Chat::new(ctx, request.clone(), telemetry);
     let mut content = String::new();
     while let Some(part) = chat.next().await {
         match &part {
@@ -48,14 +48,14 @@
             Ok(Part::End { reason, tokens }) => {
                 let content = std::mem::take(&mut content);
                 claim.settle(completion(&request, content, *tokens, reason));
-                return pass(&parts, part);
+                return forward(&parts, part);
             }
             Err(failure) => {
                 claim.settle(Err(failure.clone()));
-                return pass(&parts, part);
+                return forward(&parts, part);
             }
         }
-        pass(&parts, part);
+        forward(&parts, part);
     }
 }
 
@@ -63,28 +63,28 @@
 pub(crate) async fn call(
     ctx: Arc<Context>,
     request: Request,
-    mut journal: Journal,
+    mut telemetry: RequestTelemetry,
     key: String,
 ) -> Result<Bytes, Failure> {
-    match claim::begin(&ctx, &request, &key).await {
-        Ok(Start::Run(claim)) => {
-            let answer = plain::run(ctx, &request, journal).await;
+    match claim::acquire(&ctx, &request, &key).await {
+        Ok(ClaimOutcome::Won(claim)) => {
+            let answer = plain::run(ctx, &request, telemetry).await;
             claim.settle(answer.clone());
             answer
         }
-        Ok(Start::Stored(answer)) => {
-            journal.replayed();
+        Ok(ClaimOutcome::Stored(answer)) => {
+            telemetry.replayed();
             Ok(answer)
         }
         Err(failure) => {
-            journal.failed(&failure);
+            telemetry.failed(&failure);
             Err(failure)
         }
     }
 }
 
-/// The caller may be gone; the work goes on all the same.
-fn pass(parts: &UnboundedSender<Result<Part, Failure>>, part: Result<Part, Failure>) {
+/// Sends a part to the caller, who may have disconnected.
+fn forward(parts: &UnboundedSender<Result<Part, Failure>>, part: Result<Part, Failure>) {
     let _ = parts.send(part);
 }
 
@@ -101,7 +101,7 @@
     Ok(bytes.into())
 }
 
-/// A stored answer as parts: its whole text, then its end.
+/// Splits a stored answer into parts: all its text, then its end.
 fn replay(answer: &Bytes) -> Vec<Result<Part, Failure>> {
     let stored = serde_json::from_slice::<Completion>(answer).ok();
     let Some((stored, choice)) = stored.and_then(|mut stored| {
--- a/crates/tinbank-online/src/run/mod.rs
+++ b/crates/tinbank-online/src/run/mod.rs
@@ -4,12 +4,12 @@
 pub(crate) mod chat;
 mod claim;
 pub(crate) mod claimed;
-mod journal;
-mod patience;
+mod telemetry;
+mod stall_timeout;
 pub(crate) mod plain;
 
 pub(crate) use attempt::Attempt;
-pub(crate) use journal::Journal;
+pub(crate) use telemetry::RequestTelemetry;
 
 #[cfg(test)]
 mod tests;
--- a/crates/tinbank-online/src/run/plain.rs
+++ b/crates/tinbank-online/src/run/plain.rs
@@ -15,27 +15,27 @@
     retry::{Attempts, Decision},
 };
 
-use super::{Attempt, Journal};
+use super::{Attempt, RequestTelemetry};
 use crate::{clock, context::Context, request::Request};
 
-/// Runs the call until it has an answer or may not be sent again.
+/// Runs the call until it is answered or may not be retried.
 pub(crate) async fn run(
     ctx: Arc<Context>,
     request: &Request,
-    mut journal: Journal,
+    mut telemetry: RequestTelemetry,
 ) -> Result<Bytes, Failure> {
-    let answer = attempts(&ctx, request, &journal).await;
+    let answer = run_attempts(&ctx, request, &telemetry).await;
     match &answer {
-        Ok(_) => journal.answered(0),
-        Err(failure) => journal.failed(failure),
+        Ok(_) => telemetry.answered(0),
+        Err(failure) => telemetry.failed(failure),
     }
     answer
 }
 
-async fn attempts(
+async fn run_attempts(
     ctx: &Arc<Context>,
     request: &Request,
-    journal: &Journal,
+    telemetry: &RequestTelemetry,
 ) -> Result<Bytes, Failure> {
     let mut attempts = Attempts::new(request.repeatable, request.deadline);
     let mut tried: SmallVec<[id::Upstream; 4]> = SmallVec::new();
@@ -49,7 +49,7 @@
         let choice = ctx.table.choose(&ask, clock::now());
         let choice = choice.map_err(|refusal| attempts.exhausted(refusal))?;
         tried.push(choice.target.upstream);
-        journal.routed(choice.target.upstream, choice.reason);
+        telemetry.routed(choice.target.upstream, choice.reason);
         let number = attempts.sent;
         attempts.send(&mut ctx.budget());
         let attempt = Attempt::new(ctx.clone(), request.id, number, choice);
@@ -62,7 +62,7 @@
         };
         attempt.fail(&error);
         match attempts.fail(&error, &mut ctx.budget(), clock::now(), SystemTime::now()) {
-            Decision::Again => journal.retried(&error, attempts.sent, 0),
+            Decision::Again => telemetry.retried(&error, attempts.sent, 0),
             Decision::Stop(failure) => return Err(failure),
         }
     }
--- a/crates/tinbank-online/src/run/journal.rs
+++ b/crates/tinbank-online/src/run/telemetry.rs
@@ -1,4 +1,4 @@
-//! Time-line events, metrics and the one log line of a request.
+//! Records timeline events, metrics and the log line of a request.
 
 use std::{borrow::Cow, sync::Arc, time::Instant};
 
@@ -11,82 +11,82 @@
 
 use crate::{clock, context::Context, gate::Permit, request::Request};
 
-/// Notes what becomes of one request. A request that is dropped before it ended counts as cancelled by its caller.
+/// The recorder of one request. Dropping it before the request ended records a cancel by the caller.
 #[derive(Debug)]
-pub(crate) struct Journal {
+pub(crate) struct RequestTelemetry {
     ctx: Arc<Context>,
     permit: Permit,
     request: id::Request,
     customer: id::Customer,
     service: id::Service,
     began: Instant,
-    first: bool,
+    awaiting_first_token: bool,
     ended: bool,
 }
 
-impl Journal {
-    /// The request was accepted.
+impl RequestTelemetry {
+    /// Records that a request was accepted.
     pub(crate) fn accept(ctx: Arc<Context>, request: &Request, permit: Permit) -> Self {
-        let journal = Self {
+        let telemetry = Self {
             ctx,
             permit,
             request: request.id,
             customer: request.customer.name.clone(),
             service: request.name.clone(),
             began: clock::now(),
-            first: true,
+            awaiting_first_token: true,
             ended: false,
         };
         let accepted = Kind::Accepted {
-            customer: journal.customer.clone(),
-            service: journal.service.clone(),
+            customer: telemetry.customer.clone(),
+            service: telemetry.service.clone(),
         };
-        journal.note(None, accepted);
-        journal
+        telemetry.record(None, accepted);
+        telemetry
     }
 
-    /// An upstream was chosen.
+    /// Records that an upstream was chosen.
     pub(crate) fn routed(&self, upstream: id::Upstream, reason: &'static str) {
         let reason = Cow::Borrowed(reason);
-        self.note(Some(upstream), Kind::Routed { reason });
+        self.record(Some(upstream), Kind::Routed { reason });
     }
 
-    /// An attempt failed, and another follows that goes on after the tokens given.
+    /// Records that an attempt failed and is retried after the first `from` tokens.
     pub(crate) fn retried(&self, error: &upstream::Error, attempt: u16, from: u32) {
         let reason = error.to_string();
         metrics::counter!("tinbank_online_retries_total").increment(1);
-        self.note(Some(error.upstream), Kind::Retried { attempt, reason });
+        self.record(Some(error.upstream), Kind::Retried { attempt, reason });
         if from > 0 {
             metrics::counter!("tinbank_online_resumed_total").increment(1);
-            self.note(None, Kind::Resumed { from });
+            self.record(None, Kind::Resumed { from });
         }
     }
 
-    /// A token is passed on.
+    /// Records that a token was relayed to the caller.
     pub(crate) fn token(&mut self) {
         self.permit.spend_token();
-        if std::mem::take(&mut self.first) {
+        if std::mem::take(&mut self.awaiting_first_token) {
             let wait = clock::now().duration_since(self.began).as_secs_f64();
             metrics::histogram!("tinbank_online_first_token_seconds").record(wait);
-            self.note(None, Kind::FirstToken);
+            self.record(None, Kind::FirstToken);
         }
     }
 
-    /// The whole answer is passed on.
+    /// Records that the complete answer was relayed.
     pub(crate) fn answered(&mut self, tokens: u32) {
-        self.note(None, Kind::Answered { tokens });
+        self.record(None, Kind::Answered { tokens });
         self.end("answered", "");
     }
 
-    /// The caller gets the stored answer of an earlier request.
+    /// Records that the caller gets the stored answer of an earlier request.
     pub(crate) fn replayed(&mut self) {
         self.end("replayed", "");
     }
 
-    /// The caller is told of a failure.
+    /// Records that the caller gets a failure.
     pub(crate) fn failed(&mut self, failure: &Failure) {
         let (code, ran) = (failure.code, failure.ran);
-        self.note(None, Kind::Refused { code, ran });
+        self.record(None, Kind::Refused { code, ran });
         self.end("failed", &failure.message);
     }
 
@@ -107,7 +107,7 @@
         );
     }
 
-    fn note(&self, upstream: Option<id::Upstream>, kind: Kind) {
+    fn record(&self, upstream: Option<id::Upstream>, kind: Kind) {
         let subject = Subject {
             request: Some(self.request),
             upstream,
@@ -117,10 +117,10 @@
     }
 }
 
-impl Drop for Journal {
+impl Drop for RequestTelemetry {
     fn drop(&mut self) {
         if !self.ended {
-            self.note(None, Kind::Cancelled);
+            self.record(None, Kind::Cancelled);
             self.end("cancelled", "the caller went away");
         }
     }
--- a/crates/tinbank-online/src/run/tests/claimed.rs
+++ b/crates/tinbank-online/src/run/tests/claimed.rs
@@ -1,4 +1,4 @@
-//! Requests that run at most once, claimed at the owner of their shard.
+//! Requests that are claimed at the owner of their shard, so that they run at most once.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 use tokio::sync::mpsc;
 use yare::parameterized;
 
-use super::fixture::{After, Fixture, Script, TOKENS, peer_address, request, whole_text};
+use super::fixture::{After, Fixture, Script, TOKENS, peer_address, request, expected_text};
 use crate::{openai::Completion, request::Request, run::claimed};
 
 const KEY: &str = "order-7";
@@ -27,40 +27,40 @@
 
 async fn call(fixture: &Fixture) -> Result<Bytes, Failure> {
     let request = claimed_request();
-    let journal = fixture.journal(&request);
-    let answer = claimed::call(fixture.ctx.clone(), request, journal, KEY.to_owned()).await;
-    fixture.settle().await;
+    let telemetry = fixture.telemetry(&request);
+    let answer = claimed::call(fixture.ctx.clone(), request, telemetry, KEY.to_owned()).await;
+    fixture.wait_for_tasks().await;
     answer
 }
 
-/// Runs a chat whose caller takes so many parts, then goes away.
-async fn chat(fixture: &Fixture, takes: usize) -> Vec<Result<Part, Failure>> {
+/// Runs a chat whose caller disconnects after `max_parts` parts.
+async fn chat(fixture: &Fixture, max_parts: usize) -> Vec<Result<Part, Failure>> {
     let request = Arc::new(claimed_request());
-    let journal = fixture.journal(&request);
+    let telemetry = fixture.telemetry(&request);
     let (sender, mut receiver) = mpsc::unbounded_channel();
     let run = claimed::chat(
         fixture.ctx.clone(),
         request,
-        journal,
+        telemetry,
         KEY.to_owned(),
         sender,
     );
     let run = tokio::spawn(run);
     let mut parts = Vec::new();
-    while parts.len() < takes
+    while parts.len() < max_parts
         && let Some(part) = receiver.recv().await
     {
         parts.push(part);
     }
     drop(receiver);
     run.await.unwrap();
-    fixture.settle().await;
+    fixture.wait_for_tasks().await;
     parts
 }
 
 fn settlements(fixture: &Fixture) -> Vec<Settled> {
-    let asked = fixture.peers.asked().into_iter();
-    asked
+    let requests = fixture.peers.requests().into_iter();
+    requests
         .filter_map(|(_, frame)| match frame {
             Frame::Settle(settled) => Some(settled),
             _ => None,
@@ -69,10 +69,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_won_claim_is_run_once_and_its_answer_is_stored() {
+async fn a_claimed_request_runs_once_and_its_answer_is_stored() {
     let fixture = Fixture::new(2, 1);
-    fixture.peers.then(Response::Claimed(Claimed::Won));
-    fixture.peers.then(Response::Settled(true));
+    fixture.peers.push_answer(Response::Claimed(Claimed::Won));
+    fixture.peers.push_answer(Response::Settled(true));
 
     let answer = call(&fixture).await;
 
@@ -88,9 +88,9 @@
     unknown = { Claimed::Unknown, Code::OutcomeUnknown },
 )]
 #[test_macro(tokio::test(start_paused = true))]
-async fn a_resend_is_not_run(claimed: Claimed, code: Code) {
+async fn a_retry_without_a_stored_answer_fails_without_running(claimed: Claimed, code: Code) {
     let fixture = Fixture::new(2, 1);
-    fixture.peers.then(Response::Claimed(claimed));
+    fixture.peers.push_answer(Response::Claimed(claimed));
 
     let answer = call(&fixture).await;
 
@@ -100,12 +100,12 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_resend_gets_the_stored_answer() {
+async fn a_retry_gets_the_stored_answer() {
     let fixture = Fixture::new(2, 1);
     let stored = Bytes::from_static(b"{\"stored\":1}");
     fixture
         .peers
-        .then(Response::Claimed(Claimed::Settled(Ok(stored.clone()))));
+        .push_answer(Response::Claimed(Claimed::Settled(Ok(stored.clone()))));
 
     let answer = call(&fixture).await;
 
@@ -114,19 +114,19 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_resent_chat_gets_the_stored_text() {
+async fn a_retried_chat_gets_the_stored_text() {
     let fixture = Fixture::new(2, 1);
-    let completion = Completion::new(5, "notes", whole_text(), TOKENS, "stop".to_owned());
+    let completion = Completion::new(5, "notes", expected_text(), TOKENS, "stop".to_owned());
     let stored = Bytes::from(serde_json::to_vec(&completion).unwrap());
     fixture
         .peers
-        .then(Response::Claimed(Claimed::Settled(Ok(stored))));
+        .push_answer(Response::Claimed(Claimed::Settled(Ok(stored))));
 
     let parts = chat(&fixture, usize::MAX).await;
 
     let text = Part::Token {
         index: 0,
-        text: whole_text(),
+        text: expected_text(),
     };
     assert_eq!(parts[0], Ok(text));
     assert!(matches!(&parts[1], Ok(Part::End { tokens: TOKENS, .. })));
@@ -134,34 +134,34 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_owner_that_a_peer_names_is_asked() {
+async fn a_claim_is_redirected_to_the_owner_that_a_peer_names() {
     let fixture = Fixture::new(2, 3);
     let owner = id::Process {
         host: 2,
         role: id::Role::Batch,
     };
-    fixture.peers.then(Response::NotOwner(Some(owner)));
-    fixture.peers.then(Response::Claimed(Claimed::Won));
+    fixture.peers.push_answer(Response::NotOwner(Some(owner)));
+    fixture.peers.push_answer(Response::Claimed(Claimed::Won));
 
     let answer = call(&fixture).await;
 
     assert!(answer.is_ok());
-    let asked = fixture.peers.asked();
-    assert!(asked[0].0 == peer_address(2) || asked[1].0 == peer_address(2));
+    let requests = fixture.peers.requests();
+    assert!(requests[0].0 == peer_address(2) || requests[1].0 == peer_address(2));
 }
 
 #[parameterized(
-    nobody_there = { 0, None },
-    log_down = { 1, Some(Response::Failed { code: Code::LogUnavailable, ran: Ran::No, message: "outage".to_owned() }) },
+    no_batch_process = { 0, None },
+    log_unavailable = { 1, Some(Response::Failed { code: Code::LogUnavailable, ran: Ran::No, message: "outage".to_owned() }) },
 )]
 #[test_macro(tokio::test(start_paused = true))]
-async fn without_a_claim_nothing_is_sent_and_the_key_is_freed(
+async fn an_unclaimed_request_is_not_sent_and_its_key_is_released(
     batch_hosts: u32,
     answer: Option<Response>,
 ) {
     let fixture = Fixture::new(2, batch_hosts);
     if let Some(answer) = answer {
-        fixture.peers.then(answer);
+        fixture.peers.push_answer(answer);
     }
 
     let answer = call(&fixture).await;
@@ -179,14 +179,14 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_unknown_outcome_is_stored_as_such() {
+async fn an_unknown_outcome_is_stored() {
     let fixture = Fixture::new(2, 1);
-    fixture.upstreams.first(Script::Refuse(
+    fixture.upstreams.script_next(Script::Fail(
         Kind::Cut("scripted".to_owned()),
         Ran::Unknown,
     ));
-    fixture.peers.then(Response::Claimed(Claimed::Won));
-    fixture.peers.then(Response::Settled(true));
+    fixture.peers.push_answer(Response::Claimed(Claimed::Won));
+    fixture.peers.push_answer(Response::Settled(true));
 
     let answer = call(&fixture).await;
 
@@ -200,27 +200,27 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_claimed_chat_runs_to_its_end_when_the_caller_goes_away() {
+async fn a_claimed_chat_completes_after_its_caller_disconnects() {
     let fixture = Fixture::new(2, 1);
-    fixture.peers.then(Response::Claimed(Claimed::Won));
-    fixture.peers.then(Response::Settled(true));
+    fixture.peers.push_answer(Response::Claimed(Claimed::Won));
+    fixture.peers.push_answer(Response::Settled(true));
 
     let parts = chat(&fixture, 1).await;
 
     assert_eq!(parts.len(), 1);
     let settled = settlements(&fixture);
-    let stored = settled[0].answer.as_ref().expect("it ran to its end");
+    let stored = settled[0].answer.as_ref().expect("the chat completed");
     let completion: Completion = serde_json::from_slice(stored).unwrap();
-    assert_eq!(completion.choices[0].message.content, whole_text());
+    assert_eq!(completion.choices[0].message.content, expected_text());
     assert_eq!(fixture.upstreams.cancels(), []);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_claimed_chat_that_is_cut_off_is_not_resumed() {
+async fn a_claimed_chat_whose_engine_fails_is_not_resumed() {
     let fixture = Fixture::new(2, 1);
-    fixture.upstreams.first(Script::Then(3, After::Cut));
-    fixture.peers.then(Response::Claimed(Claimed::Won));
-    fixture.peers.then(Response::Settled(true));
+    fixture.upstreams.script_next(Script::Tokens(3, After::Cut));
+    fixture.peers.push_answer(Response::Claimed(Claimed::Won));
+    fixture.peers.push_answer(Response::Settled(true));
 
     let parts = chat(&fixture, usize::MAX).await;
 
--- a/crates/tinbank-online/src/run/tests/fixture.rs
+++ b/crates/tinbank-online/src/run/tests/fixture.rs
@@ -1,4 +1,4 @@
-//! Scripted upstreams and peers, and a context around them.
+//! A context with scripted upstreams and peers.
 
 use std::{
     collections::VecDeque,
@@ -37,24 +37,24 @@
     context::Context,
     gate::{Gate, Permit},
     request::Request,
-    run::{Journal, chat::Chat},
+    run::{RequestTelemetry, chat::Chat},
 };
 
-/// Tokens in a whole answer of the scripted engines.
+/// Tokens in a complete answer of the scripted engines.
 pub(super) const TOKENS: u32 = 8;
 pub(super) const POOL: &str = "pool";
 
-/// How a scripted upstream takes one call.
+/// The behaviour of a scripted upstream for one call.
 #[derive(Clone, Debug)]
 pub(super) enum Script {
-    /// The whole answer, from where the call resumes.
+    /// Sends the complete answer from `resume_from`.
     Whole,
-    /// The call fails before there is an answer.
-    Refuse(Kind, Ran),
-    /// Not even headers come.
-    Silent,
-    /// So many tokens from where the call resumes, then this.
-    Then(u32, After),
+    /// Fails the call before the response headers.
+    Fail(Kind, Ran),
+    /// Hangs before the response headers.
+    NoHeaders,
+    /// Sends this number of tokens from `resume_from`, then the other.
+    Tokens(u32, After),
 }
 
 /// What follows the tokens of a script.
@@ -64,22 +64,22 @@
     Cut,
     /// The connection ends without an end marker.
     Close,
-    /// Nothing comes any more.
+    /// The stream hangs.
     Hang,
-    /// A token with another index.
+    /// A token with this index.
     Token(u32),
-    /// An end marker that counts so many tokens.
+    /// An end marker with this token count.
     End(u32),
 }
 
-/// Upstreams that do as their scripts say, and whole answers after them.
+/// Upstreams that follow scripts, and answer completely when there are none left.
 #[derive(Debug, Default)]
-pub(super) struct Scripted {
-    state: Mutex<Record>,
+pub(super) struct ScriptedUpstreams {
+    state: Mutex<ScriptState>,
 }
 
 #[derive(Debug, Default)]
-struct Record {
+struct ScriptState {
     first: VecDeque<Script>,
     always: Option<Script>,
     calls: Vec<Called>,
@@ -94,14 +94,14 @@
     pub(super) resume_from: u32,
 }
 
-impl Scripted {
-    /// The next call that has no script yet does this, at whichever upstream.
-    pub(super) fn first(&self, script: Script) {
+impl ScriptedUpstreams {
+    /// Queues a script for one call, at any upstream.
+    pub(super) fn script_next(&self, script: Script) {
         self.state.lock().unwrap().first.push_back(script);
     }
 
-    /// All upstreams always do this.
-    pub(super) fn always(&self, script: Script) {
+    /// Sets the script of all calls for which none is queued.
+    pub(super) fn script_all(&self, script: Script) {
         self.state.lock().unwrap().always = Some(script);
     }
 
@@ -130,8 +130,8 @@
     format!("w{index} ")
 }
 
-/// The text that a caller has to get, no more and no less.
-pub(super) fn whole_text() -> String {
+/// Returns the text of a complete answer.
+pub(super) fn expected_text() -> String {
     (0..TOKENS).map(word).collect()
 }
 
@@ -150,7 +150,7 @@
 }
 
 #[async_trait]
-impl Upstreams for Scripted {
+impl Upstreams for ScriptedUpstreams {
     async fn chat(&self, target: Target, call: Call) -> Result<Parts, Error> {
         let error = move |ran, kind| Error {
             upstream: target.upstream,
@@ -160,10 +160,10 @@
         let from = call.resume_from;
         let cut = move || error(Ran::Unknown, Kind::Cut("scripted".to_owned()));
         let (until, after) = match self.next(target, &call) {
-            Script::Refuse(kind, ran) => return Err(error(ran, kind)),
+            Script::Fail(kind, ran) => return Err(error(ran, kind)),
             Script::Whole => (TOKENS, vec![Ok(end(TOKENS))]),
-            Script::Silent => std::future::pending().await,
-            Script::Then(count, after) => {
+            Script::NoHeaders => std::future::pending().await,
+            Script::Tokens(count, after) => {
                 let after = match after {
                     After::Cut => vec![Err(cut())],
                     After::Close => vec![],
@@ -184,12 +184,12 @@
     async fn call(&self, target: Target, call: Call) -> Result<Bytes, Error> {
         match self.next(target, &call) {
             Script::Whole => Ok(Bytes::from_static(b"{\"done\":true}")),
-            Script::Refuse(kind, ran) => Err(Error {
+            Script::Fail(kind, ran) => Err(Error {
                 upstream: target.upstream,
                 ran,
                 kind,
             }),
-            Script::Silent | Script::Then(..) => std::future::pending().await,
+            Script::NoHeaders | Script::Tokens(..) => std::future::pending().await,
         }
     }
 
@@ -211,38 +211,38 @@
 /// Host of another online process.
 pub(super) const OTHER_HOST: id::Host = 2;
 
-/// Peers that answer as told, and keep what they were asked.
+/// Peers that give queued answers, and record the requests and messages sent to them.
 #[derive(Debug, Default)]
-pub(super) struct Answering {
+pub(super) struct ScriptedPeers {
     answers: Mutex<VecDeque<Result<Response, peer::Error>>>,
-    asked: Mutex<Vec<(SocketAddr, Frame)>>,
-    told: Mutex<Vec<demand::Message>>,
+    requests: Mutex<Vec<(SocketAddr, Frame)>>,
+    sent: Mutex<Vec<demand::Message>>,
 }
 
-impl Answering {
-    pub(super) fn then(&self, answer: Response) {
+impl ScriptedPeers {
+    pub(super) fn push_answer(&self, answer: Response) {
         self.answers.lock().unwrap().push_back(Ok(answer));
     }
 
-    /// What was said of limits since it was last asked for.
-    pub(super) fn told(&self) -> Vec<demand::Message> {
-        std::mem::take(&mut *self.told.lock().unwrap())
+    /// Returns the messages about limits sent since the last call.
+    pub(super) fn take_sent(&self) -> Vec<demand::Message> {
+        std::mem::take(&mut *self.sent.lock().unwrap())
     }
 
-    pub(super) fn asked(&self) -> Vec<(SocketAddr, Frame)> {
-        self.asked.lock().unwrap().clone()
+    pub(super) fn requests(&self) -> Vec<(SocketAddr, Frame)> {
+        self.requests.lock().unwrap().clone()
     }
 }
 
 #[async_trait]
-impl Peers for Answering {
+impl Peers for ScriptedPeers {
     async fn ask(
         &self,
         to: SocketAddr,
         request: Frame,
         _until: Instant,
     ) -> Result<Vec<Response>, peer::Error> {
-        self.asked.lock().unwrap().push((to, request));
+        self.requests.lock().unwrap().push((to, request));
         let answer = self.answers.lock().unwrap().pop_front();
         let answer = answer.unwrap_or(Err(peer::Error::Connect(to)));
         answer.map(|answer| vec![answer])
@@ -251,28 +251,28 @@
     fn send_credit(&self, _to: SocketAddr, _message: credit::Message) {}
 
     fn send_demand(&self, _to: SocketAddr, message: demand::Message) {
-        self.told.lock().unwrap().push(message);
+        self.sent.lock().unwrap().push(message);
     }
 }
 
 #[derive(Debug)]
-struct Known(Arc<Members>);
+struct FixedDirectory(Arc<Members>);
 
-impl Directory for Known {
+impl Directory for FixedDirectory {
     fn members(&self) -> Arc<Members> {
         self.0.clone()
     }
 }
 
-/// A context with its fakes.
+/// A context and its fakes.
 pub(super) struct Fixture {
     pub(super) ctx: Arc<Context>,
-    pub(super) upstreams: Arc<Scripted>,
-    pub(super) peers: Arc<Answering>,
+    pub(super) upstreams: Arc<ScriptedUpstreams>,
+    pub(super) peers: Arc<ScriptedPeers>,
 }
 
 impl Fixture {
-    /// A context over so many engines and batch processes.
+    /// Creates a context with the given numbers of engines and batch processes.
     pub(super) fn new(upstreams: u32, batch_hosts: u32) -> Self {
         let process = id::Process {
             host: 1,
@@ -280,8 +280,8 @@
         };
         let table = Table::new("here", clock::now());
         table.list(&list(upstreams), clock::now());
-        let scripted = Arc::new(Scripted::default());
-        let peers = Arc::new(Answering::default());
+        let scripted = Arc::new(ScriptedUpstreams::default());
+        let peers = Arc::new(ScriptedPeers::default());
         let writer = Writer {
             process,
             incarnation: 1,
@@ -293,7 +293,7 @@
             table,
             upstreams: scripted.clone(),
             peers: peers.clone(),
-            directory: Arc::new(Known(Arc::new(members(batch_hosts)))),
+            directory: Arc::new(FixedDirectory(Arc::new(members(batch_hosts)))),
             recorder: Recorder::new(process, 1_024),
             ready: Flag::new(),
             metrics: metrics::install(),
@@ -309,44 +309,44 @@
         }
     }
 
-    pub(super) fn journal(&self, request: &Request) -> Journal {
-        let permit = Permit::get(&self.ctx, request, clock::now()).unwrap();
-        Journal::accept(self.ctx.clone(), request, permit)
+    pub(super) fn telemetry(&self, request: &Request) -> RequestTelemetry {
+        let permit = Permit::acquire(&self.ctx, request, clock::now()).unwrap();
+        RequestTelemetry::accept(self.ctx.clone(), request, permit)
     }
 
     pub(super) fn chat(&self, request: Request) -> Chat {
-        let journal = self.journal(&request);
-        Chat::new(self.ctx.clone(), Arc::new(request), journal)
+        let telemetry = self.telemetry(&request);
+        Chat::new(self.ctx.clone(), Arc::new(request), telemetry)
     }
 
-    /// Waits for cancels and settlements.
-    pub(super) async fn settle(&self) {
+    /// Waits until all cancels and settlements are done.
+    pub(super) async fn wait_for_tasks(&self) {
         self.ctx.tasks.close();
         self.ctx.tasks.wait().await;
     }
 }
 
-/// What a caller got.
+/// What a caller received of an answer.
 #[derive(Debug, Default)]
-pub(super) struct Got {
+pub(super) struct Received {
     pub(super) text: String,
     pub(super) end: Option<u32>,
     pub(super) failure: Option<Failure>,
 }
 
-pub(super) async fn drain(chat: &mut Chat) -> Got {
-    let mut got = Got::default();
+pub(super) async fn read_to_end(chat: &mut Chat) -> Received {
+    let mut received = Received::default();
     while let Some(part) = chat.next().await {
         match part {
-            Ok(Part::Token { text, .. }) => got.text.push_str(&text),
-            Ok(Part::End { tokens, .. }) => got.end = Some(tokens),
-            Err(failure) => got.failure = Some(failure),
+            Ok(Part::Token { text, .. }) => received.text.push_str(&text),
+            Ok(Part::End { tokens, .. }) => received.end = Some(tokens),
+            Err(failure) => received.failure = Some(failure),
         }
     }
-    got
+    received
 }
 
-/// A request with 10 seconds of time.
+/// Returns a request with a deadline in 10 seconds.
 pub(super) fn request(repeatable: bool) -> Request {
     let service = Service {
         kind: hosts::Kind::Engine,
@@ -404,7 +404,7 @@
     SocketAddr::from(([127, 0, 0, 1], 2_000 + host as u16))
 }
 
-/// The batch processes, and an online process at another host.
+/// Returns the batch processes, and an online process at another host.
 fn members(batch_hosts: u32) -> Members {
     let member = |host: u32, role: id::Role| Member {
         writer: Writer {
--- a/crates/tinbank-online/src/run/tests/limits.rs
+++ b/crates/tinbank-online/src/run/tests/limits.rs
@@ -1,4 +1,4 @@
-//! The exchange of limits as frames between processes.
+//! Messages that divide limits among processes.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 const OWN_HOST: id::Host = 1;
 const LIMIT: u32 = 100;
 
-/// Two hosts that have known each other for long.
+/// Returns a fixture whose two hosts have been known for longer than a grant is valid.
 async fn fixture() -> Fixture {
     let fixture = Fixture::new(1, 0);
     let hosts = [OWN_HOST, OTHER_HOST].into();
@@ -38,7 +38,7 @@
     }
 }
 
-/// A request within a scope whose limit is kept at a host.
+/// Returns a request with a limit that is kept at the given host.
 fn limited(keeper: id::Host) -> Request {
     let limits = Online {
         requests_per_second: Some(LIMIT),
@@ -49,33 +49,33 @@
     let scope = (0..)
         .map(|number| Scope::new(&number.to_string(), scope::Subject::Customer, limits))
         .find(|scope| ring.keeper(scope.key) == Some(keeper))
-        .expect("each host keeps some");
+        .expect("each host keeps some limit");
     Request {
         scopes: [scope].into_iter().collect(),
         ..request(true)
     }
 }
 
-fn let_in(fixture: &Fixture, request: &Request) -> usize {
+fn count_admitted(fixture: &Fixture, request: &Request) -> usize {
     let tries = 0..LIMIT;
-    let permits = tries.map(|_| Permit::get(&fixture.ctx, request, clock::now()));
+    let permits = tries.map(|_| Permit::acquire(&fixture.ctx, request, clock::now()));
     permits.filter(Result::is_ok).count()
 }
 
-fn ask_all(fixture: &Fixture) {
-    limits::ask_all(&fixture.ctx, &fixture.ctx.directory.members());
+fn send_asks(fixture: &Fixture) {
+    limits::send_asks(&fixture.ctx, &fixture.ctx.directory.members());
 }
 
 #[tokio::test(start_paused = true)]
-async fn another_host_s_grant_raises_the_share() {
+async fn a_grant_from_the_keeper_raises_the_share() {
     let fixture = fixture().await;
     let request = limited(OTHER_HOST);
-    let at_first = let_in(&fixture, &request);
+    let at_first = count_admitted(&fixture, &request);
 
-    ask_all(&fixture);
-    let told = fixture.peers.told();
-    let [Message::Ask(Ask { round, claims })] = &told[..] else {
-        panic!("one ask: {told:?}");
+    send_asks(&fixture);
+    let sent = fixture.peers.take_sent();
+    let [Message::Ask(Ask { round, claims })] = &sent[..] else {
+        panic!("one ask: {sent:?}");
     };
     let part = Part {
         millis: 80_000,
@@ -86,37 +86,37 @@
         round: *round,
         parts,
     });
-    // One who is not the keeper is not believed.
-    limits::told(&fixture.ctx, writer(3), &grant);
-    let by_stranger = let_in(&fixture, &request);
-    limits::told(&fixture.ctx, writer(OTHER_HOST), &grant);
+    // A grant from another host than the keeper is ignored.
+    limits::on_message(&fixture.ctx, writer(3), &grant);
+    let after_foreign_grant = count_admitted(&fixture, &request);
+    limits::on_message(&fixture.ctx, writer(OTHER_HOST), &grant);
     tokio::time::advance(Duration::from_millis(500)).await;
 
     assert_eq!((claims[0].most, claims[0].held_millis), (LIMIT, 0));
     let even_part = LIMIT as usize / HOSTS;
-    assert_eq!((at_first, by_stranger), (even_part, 0));
-    assert_eq!(let_in(&fixture, &request), 40);
+    assert_eq!((at_first, after_foreign_grant), (even_part, 0));
+    assert_eq!(count_admitted(&fixture, &request), 40);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_limit_that_is_kept_here_costs_no_frame() {
+async fn a_limit_kept_at_this_host_needs_no_messages() {
     let fixture = fixture().await;
     let request = limited(OWN_HOST);
-    let_in(&fixture, &request);
+    count_admitted(&fixture, &request);
 
-    ask_all(&fixture);
+    send_asks(&fixture);
     tokio::time::advance(Duration::from_secs(1)).await;
 
-    assert!(fixture.peers.told().is_empty());
-    assert!(let_in(&fixture, &request) >= 90);
+    assert!(fixture.peers.take_sent().is_empty());
+    assert!(count_admitted(&fixture, &request) >= 90);
 }
 
 #[tokio::test(start_paused = true)]
-async fn another_host_s_ask_is_answered_and_recalls_what_we_hold() {
+async fn an_ask_from_another_host_is_granted_from_the_share_held_here() {
     let fixture = fixture().await;
     let request = limited(OWN_HOST);
-    let_in(&fixture, &request);
-    ask_all(&fixture);
+    count_admitted(&fixture, &request);
+    send_asks(&fixture);
     let limit = scope::limit(request.scopes[0].key, Which::Requests);
     let claim = Claim {
         limit,
@@ -131,31 +131,31 @@
         })
     };
 
-    limits::told(&fixture.ctx, writer(OTHER_HOST), &ask(1));
-    let first = fixture.peers.told();
-    ask_all(&fixture);
-    ask_all(&fixture);
-    limits::told(&fixture.ctx, writer(OTHER_HOST), &ask(2));
-    let second = fixture.peers.told();
+    limits::on_message(&fixture.ctx, writer(OTHER_HOST), &ask(1));
+    let first = fixture.peers.take_sent();
+    send_asks(&fixture);
+    send_asks(&fixture);
+    limits::on_message(&fixture.ctx, writer(OTHER_HOST), &ask(2));
+    let second = fixture.peers.take_sent();
 
     let granted = |message: &Message| match message {
         Message::Grant(grant) => Some(grant.parts[0].millis),
         _ => None,
     };
-    let sum = |told: &[Message]| told.iter().filter_map(granted).sum::<u32>();
+    let sum = |sent: &[Message]| sent.iter().filter_map(granted).sum::<u32>();
     assert!(sum(&first) < 10_000, "{first:?}");
     assert!(sum(&second) > 40_000, "{second:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_recall_makes_us_ask_again_at_once() {
+async fn a_recalled_limit_is_asked_for_again_immediately() {
     let fixture = fixture().await;
     let request = limited(OTHER_HOST);
-    let_in(&fixture, &request);
-    ask_all(&fixture);
-    let told = fixture.peers.told();
-    let [Message::Ask(Ask { round, .. })] = &told[..] else {
-        panic!("one ask: {told:?}");
+    count_admitted(&fixture, &request);
+    send_asks(&fixture);
+    let sent = fixture.peers.take_sent();
+    let [Message::Ask(Ask { round, .. })] = &sent[..] else {
+        panic!("one ask: {sent:?}");
     };
     let part = Part {
         millis: 80_000,
@@ -165,23 +165,23 @@
         round: *round,
         parts: [part].into_iter().collect(),
     };
-    limits::told(&fixture.ctx, writer(OTHER_HOST), &Message::Grant(grant));
+    limits::on_message(&fixture.ctx, writer(OTHER_HOST), &Message::Grant(grant));
     let limit = scope::limit(request.scopes[0].key, Which::Requests);
     let recall = Recall {
         limits: [limit].into_iter().collect(),
     };
 
-    ask_all(&fixture);
-    let before = fixture.peers.told();
-    limits::told(&fixture.ctx, writer(OTHER_HOST), &Message::Recall(recall));
-    ask_all(&fixture);
+    send_asks(&fixture);
+    let before = fixture.peers.take_sent();
+    limits::on_message(&fixture.ctx, writer(OTHER_HOST), &Message::Recall(recall));
+    send_asks(&fixture);
 
     assert!(before.is_empty(), "{before:?}");
-    assert!(matches!(&fixture.peers.told()[..], [Message::Ask(_)]));
+    assert!(matches!(&fixture.peers.take_sent()[..], [Message::Ask(_)]));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_over_a_service_s_limit_is_told_so_and_when_to_come_back() {
+async fn a_request_over_a_service_limit_is_refused_with_a_retry_time() {
     let fixture = Fixture::new(1, 0);
     let limits = Online {
         online_at_once: Some(1),
@@ -192,9 +192,9 @@
         scopes: [service].into_iter().collect(),
         ..request(true)
     };
-    let _running = Permit::get(&fixture.ctx, &request, clock::now()).unwrap();
+    let _running = Permit::acquire(&fixture.ctx, &request, clock::now()).unwrap();
 
-    let refused = Permit::get(&fixture.ctx, &request, clock::now()).unwrap_err();
+    let refused = Permit::acquire(&fixture.ctx, &request, clock::now()).unwrap_err();
 
     assert_eq!((refused.code, refused.ran), (Code::LimitReached, Ran::No));
     assert!(
--- a/crates/tinbank-online/src/run/tests/plain.rs
+++ b/crates/tinbank-online/src/run/tests/plain.rs
@@ -15,31 +15,31 @@
     not_repeatable_but_not_run = { false, Ran::No, 2 },
 )]
 #[test_macro(tokio::test(start_paused = true))]
-async fn a_failed_call_is_sent_again_only_if_that_is_safe(
+async fn a_failed_call_is_retried_only_if_it_is_repeatable_or_did_not_run(
     repeatable: bool,
     ran: Ran,
     calls: usize,
 ) {
     let fixture = Fixture::new(3, 0);
     let kind = Kind::Connect("scripted".to_owned());
-    fixture.upstreams.first(Script::Refuse(kind, ran));
+    fixture.upstreams.script_next(Script::Fail(kind, ran));
     let request = request(repeatable);
-    let journal = fixture.journal(&request);
+    let telemetry = fixture.telemetry(&request);
 
-    let answer = plain::run(fixture.ctx.clone(), &request, journal).await;
+    let answer = plain::run(fixture.ctx.clone(), &request, telemetry).await;
 
     assert_eq!(answer.is_ok(), calls == 2);
     assert_eq!(fixture.upstreams.calls().len(), calls);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_call_that_hangs_ends_by_its_deadline_with_an_unknown_outcome() {
+async fn a_hanging_call_times_out_with_an_unknown_outcome() {
     let fixture = Fixture::new(3, 0);
-    fixture.upstreams.always(Script::Then(0, After::Hang));
+    fixture.upstreams.script_all(Script::Tokens(0, After::Hang));
     let request = request(false);
-    let journal = fixture.journal(&request);
+    let telemetry = fixture.telemetry(&request);
 
-    let answer = plain::run(fixture.ctx.clone(), &request, journal).await;
+    let answer = plain::run(fixture.ctx.clone(), &request, telemetry).await;
 
     let failure = answer.expect_err("it hangs");
     assert_eq!((failure.code, failure.ran), (Code::Timeout, Ran::Unknown));
--- a/crates/tinbank-online/src/server.rs
+++ b/crates/tinbank-online/src/server.rs
@@ -30,16 +30,16 @@
 }
 
 impl Server {
-    /// Starts the process on threads of its own, so that [`Server::kill`] can end it like a lost host.
+    /// Starts the process on its own threads, so that [`Server::kill`] can simulate the loss of its host.
     ///
     /// # Errors
-    /// An address is taken, or the system gives no threads.
+    /// An address is in use, or threads can't be started.
     pub async fn start(settings: Settings) -> Result<Self, Error> {
         let platform = Platform::new(&settings.common);
         Self::start_with(settings, platform).await
     }
 
-    /// Like [`Server::start`], with another platform.
+    /// Like [`Server::start`], on the given platform.
     ///
     /// # Errors
     /// Those of [`Server::start`].
@@ -50,10 +50,10 @@
         Ok(server)
     }
 
-    /// Starts the process on runtimes that the caller keeps.
+    /// Starts the process on runtimes that the caller owns.
     ///
     /// # Errors
-    /// An address is taken.
+    /// An address is in use.
     pub async fn start_on(
         settings: Settings,
         platform: Platform,
@@ -62,48 +62,48 @@
         on_control(handles, |handles| start(settings, platform, handles)).await
     }
 
-    /// Where callers and operators reach the process.
+    /// Returns the address that callers and operators send requests to.
     pub fn http_address(&self) -> SocketAddr {
         self.http_address
     }
 
-    /// Where other processes reach it.
+    /// Returns the address that other processes send frames to.
     pub fn peer_address(&self) -> SocketAddr {
         self.core.endpoint.address()
     }
 
-    /// Which process and start it is.
+    /// Returns the process and its incarnation.
     pub fn writer(&self) -> Writer {
         self.core.writer
     }
 
-    /// Whether it takes requests.
+    /// Returns whether the process serves requests.
     pub fn is_ready(&self) -> bool {
         self.core.ready.is_ready()
     }
 
-    /// Waits until operators want this host drained; whoever runs the process then stops it.
+    /// Waits until an operator drains this host. The caller is then expected to stop the server.
     pub async fn drained(&self) {
         self.core.drained().await;
     }
 
-    /// The common part of the process.
+    /// Returns the part that all kinds of processes have in common.
     pub fn core(&self) -> &Arc<Core> {
         &self.core
     }
 
-    /// Its time line.
+    /// Returns the recorder of the process's timeline.
     pub fn recorder(&self) -> &Recorder {
         &self.core.recorder
     }
 
-    /// Its view of the upstreams.
+    /// Returns the routing table.
     pub fn table(&self) -> &Table {
         &self.ctx.table
     }
 
-    /// Stops the process without cutting off a request: it becomes unready, tells its peers, goes on serving until the
-    /// balancer has had time to notice, and finishes every stream.
+    /// Stops the process without interrupting requests: it becomes unready, notifies its peers, serves for `stop_grace_ms`
+    /// so that the load balancer notices, and finishes every stream.
     pub async fn stop(self) {
         self.core.begin_leaving();
         tokio::time::sleep(self.stop_grace).await;
@@ -114,25 +114,25 @@
         self.runtimes.end();
     }
 
-    /// Ends the process at once, as when its host is lost: connections break and nobody is told.
+    /// Stops the process abruptly, as when its host is lost: connections break and peers are not notified.
     pub fn kill(self) {
         self.core.end();
         self.runtimes.end();
     }
 }
 
-/// Runs on the control thread.
+/// Starts the process from its control thread.
 async fn start(settings: Settings, platform: Platform, handles: Handles) -> Result<Server, Error> {
     let common = &settings.common;
     let core = Core::start(common, id::Role::Online, platform).await?;
     let ctx = Arc::new(context(&settings, &core, &handles));
     let http = listen(common, &ctx, &handles)?;
     let http_address = http.local_addr();
-    let answerer = control::Answerer {
+    let peer_handler = control::PeerHandler {
         follower: core.follower.clone(),
         ctx: ctx.clone(),
     };
-    core.join(http_address, Arc::new(answerer)).await;
+    core.join(http_address, Arc::new(peer_handler)).await;
     let teller = Teller::start(core.peers(), core.clone());
     control::start(&core, &ctx, teller, settings.reports_per_second);
     Ok(Server {
@@ -165,7 +165,7 @@
     }
 }
 
-/// The HTTP server runs on the traffic threads.
+/// Starts the HTTP server on the traffic threads.
 fn listen(
     common: &Common,
     ctx: &Arc<Context>,
--- a/crates/tinbank-online/src/settings.rs
+++ b/crates/tinbank-online/src/settings.rs
@@ -10,14 +10,14 @@
 /// Settings of the online process.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Settings {
-    /// What all processes are told.
+    /// Settings that all processes have in common.
     #[serde(flatten)]
     pub common: Common,
-    /// Number of work shards of the deployment, which claims are spread over.
+    /// Number of work shards of the deployment, over which claims are distributed.
     pub shards: u16,
-    /// How long the process goes on taking requests after it was told to stop, so that the balancer can notice.
+    /// How long the process keeps serving after a stop was requested, so that the load balancer notices, in milliseconds.
     pub stop_grace_ms: u64,
-    /// Engines that are asked for their load report each second.
+    /// Number of engines polled for their load report each second.
     pub reports_per_second: u32,
 }
 
--- a/crates/tinbank-online/tests/refused.rs
+++ b/crates/tinbank-online/tests/refused.rs
@@ -1,11 +1,11 @@
-//! Bad input and refusals: a clear answer, and nothing has reached an upstream.
+//! Invalid and refused requests get a precise error and reach no upstream.
 
 mod support;
 
 use std::time::Duration;
 
 use serde_json::{Value, json};
-use support::{Size, World, call, chat, post, prompt, until};
+use support::{ClusterOptions, Cluster, call, chat, post, chat_body, wait_until};
 use yare::parameterized;
 
 const CHAT: &str = "/v1/chat/completions";
@@ -29,16 +29,16 @@
     call_of_unknown_service = { "/v1/services/none/call", &[], "{}", 404, "no service" },
 )]
 #[test_macro(tokio::test(flavor = "multi_thread"))]
-async fn bad_input_gets_its_place_and_sends_nothing(
+async fn an_invalid_request_is_refused_with_the_position_of_the_error(
     path: &str,
     headers: &[(&str, &str)],
     body: &'static str,
     status: u16,
     place: &str,
 ) {
-    let world = World::start(Size::default()).await;
+    let cluster = Cluster::start(ClusterOptions::default()).await;
 
-    let answer = post(world.address(), path, headers, body).await;
+    let answer = post(cluster.address(), path, headers, body).await;
 
     assert_eq!(answer.status.as_u16(), status);
     assert!(answer.headers.contains_key("x-request-id"));
@@ -46,43 +46,43 @@
     let message = failure["message"].as_str().expect("there is a message");
     assert!(message.contains(place), "{message}");
     assert_eq!(failure["ran"], "no");
-    assert!(world.runs().is_empty());
+    assert!(cluster.runs().is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_body_over_the_limit_is_refused() {
-    let world = World::start(Size::default()).await;
+    let cluster = Cluster::start(ClusterOptions::default()).await;
     let body = vec![b' '; 5 << 20];
 
-    let answer = post(world.address(), CHAT, &[], body).await;
+    let answer = post(cluster.address(), CHAT, &[], body).await;
 
     assert_eq!(answer.status.as_u16(), 413);
-    assert!(world.runs().is_empty());
+    assert!(cluster.runs().is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn not_run_never_reached_an_upstream() {
-    let world = World::start(Size::default()).await;
-    for plain in world.standin.plain() {
+async fn a_call_reported_as_not_run_reached_no_upstream() {
+    let cluster = Cluster::start(ClusterOptions::default()).await;
+    for plain in cluster.standin.plain() {
         plain.faults.change(|fault| fault.leaving = true);
     }
 
-    let answer = call(world.address(), &[], &json!({ "reference": "truck" })).await;
+    let answer = call(cluster.address(), &[], &json!({ "reference": "truck" })).await;
 
     assert_eq!(answer.status.as_u16(), 503);
     assert!(answer.headers.contains_key("retry-after"));
     assert_eq!(answer.json().await["ran"], "no");
-    assert!(world.runs().is_empty());
+    assert!(cluster.runs().is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_whose_answer_is_lost_ran_once_and_its_outcome_is_unknown() {
-    let world = World::start(Size::default()).await;
-    for plain in world.standin.plain() {
+async fn a_call_with_a_lost_answer_runs_once_and_has_an_unknown_outcome() {
+    let cluster = Cluster::start(ClusterOptions::default()).await;
+    for plain in cluster.standin.plain() {
         plain.faults.change(|fault| fault.lose_next = 1);
     }
 
-    let answer = call(world.address(), &[], &json!({ "reference": "truck" }))
+    let answer = call(cluster.address(), &[], &json!({ "reference": "truck" }))
         .await
         .json()
         .await;
@@ -91,26 +91,26 @@
         (&answer["code"], &answer["ran"]),
         (&json!("outcome_unknown"), &json!("unknown"))
     );
-    assert_eq!(world.runs().len(), 1);
+    assert_eq!(cluster.runs().len(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_is_answered_by_the_plain_service() {
-    let world = World::start(Size::default()).await;
+    let cluster = Cluster::start(ClusterOptions::default()).await;
 
-    let answer = call(world.address(), &[], &json!({ "reference": "truck" })).await;
+    let answer = call(cluster.address(), &[], &json!({ "reference": "truck" })).await;
 
     assert_eq!(answer.status.as_u16(), 200);
     assert_eq!(answer.json().await["reference"], "truck");
-    assert_eq!(world.runs().len(), 1);
+    assert_eq!(cluster.runs().len(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_without_any_owner_of_claims_is_refused_and_nothing_is_sent() {
-    let world = World::start(Size::default()).await;
+async fn a_request_that_can_not_be_claimed_is_refused_and_not_sent() {
+    let cluster = Cluster::start(ClusterOptions::default()).await;
     let headers = [("idempotency-key", "k-1"), ("tinbank-timeout-ms", "300")];
 
-    let answer = call(world.address(), &headers, &json!({ "reference": "truck" }))
+    let answer = call(cluster.address(), &headers, &json!({ "reference": "truck" }))
         .await
         .json()
         .await;
@@ -119,27 +119,27 @@
         (&answer["code"], &answer["ran"]),
         (&json!("log_unavailable"), &json!("no"))
     );
-    assert!(world.runs().is_empty());
+    assert!(cluster.runs().is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_customer_over_its_limit_is_told_when_to_come_back() {
+async fn a_request_over_the_customer_limit_gets_a_retry_time() {
     let limits = json!({ "online_at_once": 2 });
-    let world = World::start(Size {
+    let cluster = Cluster::start(ClusterOptions {
         limits,
-        ..Size::default()
+        ..ClusterOptions::default()
     })
     .await;
-    let mut first = chat(world.address(), &[], &support::streamed("one"))
+    let mut first = chat(cluster.address(), &[], &support::streamed_body("one"))
         .await
         .events();
-    let mut second = chat(world.address(), &[], &support::streamed("two"))
+    let mut second = chat(cluster.address(), &[], &support::streamed_body("two"))
         .await
         .events();
     first.read(1).await;
     second.read(1).await;
 
-    let refused = chat(world.address(), &[], &prompt("three")).await;
+    let refused = chat(cluster.address(), &[], &chat_body("three")).await;
     let status = refused.status.as_u16();
     let retry_after = refused.headers.contains_key("retry-after");
     let failure: Value = refused.json().await;
@@ -152,30 +152,30 @@
         (&json!("limit_reached"), &json!("no"))
     );
     assert!(first.done && second.done);
-    assert_eq!(world.runs().len(), 2);
+    assert_eq!(cluster.runs().len(), 2);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_hangs_ends_in_a_timeout() {
-    let world = World::start(Size {
+async fn a_chat_at_a_hanging_engine_times_out() {
+    let cluster = Cluster::start(ClusterOptions {
         engines: 1,
-        ..Size::default()
+        ..ClusterOptions::default()
     })
     .await;
-    let engine = &world.standin.engines()[0];
+    let engine = &cluster.standin.engines()[0];
     engine.faults.change(|fault| fault.paused = true);
 
     let answer = chat(
-        world.address(),
+        cluster.address(),
         &[("tinbank-timeout-ms", "200")],
-        &prompt("hangs"),
+        &chat_body("hangs"),
     )
     .await;
 
     assert_eq!(answer.status.as_u16(), 504);
     engine.faults.change(|fault| fault.paused = false);
-    until(|| {
-        world
+    wait_until(|| {
+        cluster
             .server()
             .table()
             .in_flight(1, tinbank_configuration::template::Traffic::Online)
--- a/crates/tinbank-online/tests/stop.rs
+++ b/crates/tinbank-online/tests/stop.rs
@@ -1,19 +1,19 @@
-//! Planned stops cut off nothing; a lost host never makes an answer look whole.
+//! Planned stops interrupt no stream, and a lost host never makes an answer look complete.
 
 mod support;
 
 use std::time::Instant;
 
-use support::{Size, World, chat, prompt, streamed, until, whole_text};
+use support::{ClusterOptions, Cluster, chat, chat_body, streamed_body, wait_until, expected_text};
 use tinbank_base::frame::heartbeat::Leaving;
 use tinbank_online::Server;
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_finishes_every_stream() {
-    let mut world = World::start(Size::default()).await;
-    let address = world.address();
+    let mut cluster = Cluster::start(ClusterOptions::default()).await;
+    let address = cluster.address();
     let bodies: Vec<_> = (0..5)
-        .map(|number| streamed(&format!("stream {number}")))
+        .map(|number| streamed_body(&format!("stream {number}")))
         .collect();
     let mut streams = Vec::new();
     for body in &bodies {
@@ -22,64 +22,64 @@
         streams.push(events);
     }
 
-    let server = world.servers.remove(0);
+    let server = cluster.servers.remove(0);
     let stopped = tokio::spawn(server.stop());
     for (events, body) in streams.iter_mut().zip(&bodies) {
         events.read_all().await;
-        assert_eq!(events.text, whole_text(body));
+        assert_eq!(events.text, expected_text(body));
         assert!(events.done && !events.broken);
     }
 
-    stopped.await.expect("it stops");
+    stopped.await.expect("the server stops");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_killed_host_breaks_its_streams_and_another_serves_on() {
-    let mut world = World::start(Size {
+async fn a_killed_host_breaks_its_streams_and_another_host_serves() {
+    let mut cluster = Cluster::start(ClusterOptions {
         servers: 2,
-        ..Size::default()
+        ..ClusterOptions::default()
     })
     .await;
-    let mut events = chat(world.address(), &[], &streamed("the host is lost"))
+    let mut events = chat(cluster.address(), &[], &streamed_body("the host is lost"))
         .await
         .events();
     events.read(2).await;
 
-    world.servers.remove(0).kill();
+    cluster.servers.remove(0).kill();
     events.read_all().await;
-    let body = prompt("asked elsewhere");
-    let answer = chat(world.address(), &[], &body).await.json().await;
+    let body = chat_body("asked elsewhere");
+    let answer = chat(cluster.address(), &[], &body).await.json().await;
 
     assert!(!events.done);
     assert_eq!(
         answer["choices"][0]["message"]["content"],
-        whole_text(&body)
+        expected_text(&body)
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_is_killed_and_comes_back_is_used_again() {
-    let world = World::start(Size {
+async fn a_restarted_engine_is_used_again() {
+    let cluster = Cluster::start(ClusterOptions {
         engines: 1,
-        ..Size::default()
+        ..ClusterOptions::default()
     })
     .await;
-    let engine = &world.standin.engines()[0];
+    let engine = &cluster.standin.engines()[0];
 
     engine.faults.change(|fault| fault.killed = true);
     let refused = chat(
-        world.address(),
+        cluster.address(),
         &[("tinbank-timeout-ms", "500")],
-        &prompt("first"),
+        &chat_body("first"),
     )
     .await;
     assert!(refused.status.is_server_error());
     engine.faults.change(|fault| fault.killed = false);
 
-    let address = world.address();
+    let address = cluster.address();
     let mut answered = false;
     for number in 0..200 {
-        let answer = chat(address, &[], &prompt(&format!("again {number}"))).await;
+        let answer = chat(address, &[], &chat_body(&format!("again {number}"))).await;
         answered |= answer.status.is_success();
         if answered {
             break;
@@ -87,7 +87,7 @@
         tokio::time::sleep(std::time::Duration::from_millis(50)).await;
     }
     assert!(answered);
-    until(|| {
+    wait_until(|| {
         engine
             .account
             .runs()
@@ -98,31 +98,31 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_sign_that_one_host_has_heard_reaches_the_others() {
-    let world = World::start(Size {
+async fn a_leaving_upstream_reported_to_one_host_is_avoided_by_all() {
+    let cluster = Cluster::start(ClusterOptions {
         servers: 3,
-        ..Size::default()
+        ..ClusterOptions::default()
     })
     .await;
-    // Nothing but the word says so: the engine itself and the list hold it for live.
-    let word = Leaving {
+    // Only this message says that the engine leaves; the engine and the host list report it as live.
+    let leaving = Leaving {
         upstream: 1,
         list: u64::MAX,
     };
 
-    world.server().table().hear(word, Instant::now());
+    cluster.server().table().hear(leaving, Instant::now());
 
-    let everywhere = || {
-        let mut tables = world.servers.iter().map(Server::table);
+    let known_everywhere = || {
+        let mut tables = cluster.servers.iter().map(Server::table);
         tables.all(|table| table.is_leaving(1, Instant::now()))
     };
-    until(everywhere).await;
-    let asked = chat(
-        world.servers[2].http_address(),
+    wait_until(known_everywhere).await;
+    let answer = chat(
+        cluster.servers[2].http_address(),
         &[],
-        &prompt("after the word"),
+        &chat_body("after the message"),
     )
     .await;
-    assert!(asked.status.is_success());
-    assert!(world.standin.engines()[0].account.runs().is_empty());
+    assert!(answer.status.is_success());
+    assert!(cluster.standin.engines()[0].account.runs().is_empty());
 }
--- a/crates/tinbank-online/tests/support/mod.rs
+++ b/crates/tinbank-online/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A deployment in one process: stand-ins, a configuration in memory, and online processes.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! A cluster in one process: stand-in upstreams, an in-memory configuration log, online and batch processes.
+#![allow(dead_code, reason = "not every test file uses every item")]
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -33,17 +33,17 @@
 pub const KEY: &str = "test-key";
 pub const NOTES: &str = "notes";
 pub const ORDERS: &str = "orders";
-/// How long a test waits for what has to come at some time.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// How long [`wait_until`] waits for its condition.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-pub struct World {
+pub struct Cluster {
     pub standin: Standin,
     pub servers: Vec<Server>,
     pub batch: Vec<tinbank_batch::Server>,
 }
 
-/// What to build.
-pub struct Size {
+/// The size and limits of a cluster.
+pub struct ClusterOptions {
     pub engines: u32,
     pub plain: u32,
     pub servers: u32,
@@ -52,7 +52,7 @@
     pub limits: Value,
 }
 
-impl Default for Size {
+impl Default for ClusterOptions {
     fn default() -> Self {
         Self {
             engines: 3,
@@ -64,44 +64,44 @@
     }
 }
 
-impl World {
-    pub async fn start(size: Size) -> Self {
-        let standin = Standin::start(standins(&size))
+impl Cluster {
+    pub async fn start(options: ClusterOptions) -> Self {
+        let standin = Standin::start(standins(&options))
             .await
             .expect("stand-ins start");
         let log = Memory::new();
-        publish(&log, &size.limits);
+        publish(&log, &options.limits);
         let list = standin.hosts().expect("there is a host list").address;
-        let mut world = Self {
+        let mut cluster = Self {
             standin,
             servers: Vec::new(),
             batch: Vec::new(),
         };
-        for host in 1..=size.batch {
+        for host in 1..=options.batch {
             let settings = tinbank_batch::Settings {
-                common: world.common(host),
+                common: cluster.common(host),
                 lease_silence_ms: 1_000,
                 ..tinbank_batch::Settings::default()
             };
             let platform = platform(&log, list, &settings.common);
             let server = tinbank_batch::Server::start_with(settings, platform).await;
-            world.batch.push(server.expect("the batch process starts"));
+            cluster.batch.push(server.expect("the batch process starts"));
         }
-        for host in 1..=size.servers {
+        for host in 1..=options.servers {
             let settings = Settings {
-                common: world.common(host),
+                common: cluster.common(host),
                 ..Settings::default()
             };
             let platform = platform(&log, list, &settings.common);
             let server = Server::start_with(settings, platform).await;
-            world.servers.push(server.expect("the server starts"));
+            cluster.servers.push(server.expect("the server starts"));
         }
-        until(|| world.servers.iter().all(Server::is_ready)).await;
-        until(|| world.batch.iter().all(tinbank_batch::Server::is_ready)).await;
-        world
+        wait_until(|| cluster.servers.iter().all(Server::is_ready)).await;
+        wait_until(|| cluster.batch.iter().all(tinbank_batch::Server::is_ready)).await;
+        cluster
     }
 
-    /// Settings of the next process, which knows those that run.
+    /// Returns the settings of the next process, whose seeds are the running ones.
     fn common(&self, host: id::Host) -> Common {
         let online = self.servers.iter().map(Server::peer_address);
         let batch = self.batch.iter().map(tinbank_batch::Server::peer_address);
@@ -121,7 +121,7 @@
         self.server().http_address()
     }
 
-    /// Everything that ran anywhere.
+    /// Returns the runs of all upstreams.
     pub fn runs(&self) -> Vec<Run> {
         let services = self.standin.engines().iter().chain(self.standin.plain());
         services
@@ -129,7 +129,7 @@
             .collect()
     }
 
-    /// The engine that has a run in flight.
+    /// Returns the engine that has a run in flight.
     pub fn running_engine(&self) -> &Service {
         let engines = self.standin.engines().iter();
         let mut running = engines.filter(|engine| {
@@ -156,7 +156,7 @@
     }
 }
 
-fn standins(size: &Size) -> tinbank_standin::Settings {
+fn standins(options: &ClusterOptions) -> tinbank_standin::Settings {
     let engine = |upstream: id::Upstream| engine::Settings {
         upstream,
         pools: [NOTES.to_owned()].into_iter().collect(),
@@ -177,8 +177,8 @@
             lag: Duration::from_millis(20),
             ..Default::default()
         }),
-        engines: (1..=size.engines).map(engine).collect(),
-        plain: (101..101 + size.plain).map(plain).collect(),
+        engines: (1..=options.engines).map(engine).collect(),
+        plain: (101..101 + options.plain).map(plain).collect(),
         ..Default::default()
     }
 }
@@ -226,35 +226,35 @@
     }
 }
 
-/// Waits for something that has to come; fails the test if it does not.
-pub async fn until(condition: impl Fn() -> bool) {
+/// Waits until the condition holds, and fails the test if it does not in time.
+pub async fn wait_until(condition: impl Fn() -> bool) {
     let wait = async {
         while !condition() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, wait)
+    tokio::time::timeout(WAIT_TIMEOUT, wait)
         .await
-        .expect("it comes at some time");
+        .expect("the condition holds in time");
 }
 
-pub fn prompt(text: &str) -> Value {
+pub fn chat_body(text: &str) -> Value {
     json!({ "model": NOTES, "messages": [{ "role": "user", "content": text }] })
 }
 
-pub fn streamed(text: &str) -> Value {
-    let mut prompt = prompt(text);
-    prompt["stream"] = true.into();
-    prompt
+pub fn streamed_body(text: &str) -> Value {
+    let mut body = chat_body(text);
+    body["stream"] = true.into();
+    body
 }
 
-/// The text that any engine answers with.
-pub fn whole_text(body: &Value) -> String {
+/// Returns the text that every engine answers the body with.
+pub fn expected_text(body: &Value) -> String {
     let prompt = Prompt::read(body.to_string().as_bytes()).expect("the prompt can be read");
     prompt.answer(160).whole()
 }
 
-/// An answer whose body is still to come.
+/// A response whose body has not been read.
 pub struct Answer {
     pub status: StatusCode,
     pub headers: HeaderMap,
@@ -309,7 +309,7 @@
             .body
             .collect()
             .await
-            .expect("the answer is whole")
+            .expect("the response body is complete")
             .to_bytes();
         serde_json::from_slice(&body).expect("the answer is JSON")
     }
@@ -327,7 +327,7 @@
     }
 }
 
-/// A stream as its caller sees it.
+/// The events of a stream, as received by the caller.
 pub struct Events {
     body: Incoming,
     buffer: Vec<u8>,
@@ -339,7 +339,7 @@
 }
 
 impl Events {
-    /// Reads until there are so many tokens, or the stream ends.
+    /// Reads until `tokens` tokens have arrived or the stream ends.
     pub async fn read(&mut self, tokens: u32) {
         while self.tokens < tokens && !self.done {
             match self.body.frame().await {
@@ -351,7 +351,7 @@
                 Some(Ok(frame)) => {
                     self.buffer
                         .extend_from_slice(frame.data_ref().expect("there are no trailers"));
-                    self.take();
+                    self.parse_events();
                 }
             }
         }
@@ -361,7 +361,7 @@
         self.read(u32::MAX).await;
     }
 
-    fn take(&mut self) {
+    fn parse_events(&mut self) {
         while let Some(end) = self.buffer.windows(2).position(|pair| pair == b"\n\n") {
             let event: Vec<u8> = self.buffer.drain(..end + 2).collect();
             let data = event
@@ -381,7 +381,7 @@
             if let Some(text) = &chunk.choices[0].delta.content {
                 assert_eq!(
                     chunk.token_index, self.tokens,
-                    "tokens come in order, each once"
+                    "tokens arrive in order, each once"
                 );
                 self.tokens += 1;
                 self.text.push_str(text);
