--- a/crates/tinbank-online/src/control/limits.rs
+++ b/crates/tinbank-online/src/control/limits.rs
@@ -13,8 +13,8 @@
 
 use crate::{clock, context::Context};
 
-/// Interval at which due asks are sent to keepers.
-const ASK_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which due claim requests are sent to keepers.
+const CLAIM_REQUEST_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How long new demand is collected before it is sent, so that a burst needs few frames.
 const DEMAND_DEBOUNCE: Duration = Duration::from_millis(20);
@@ -33,22 +33,22 @@
     }
 }
 
-/// Asks keepers for shares of the limits in demand here, periodically and when demand rises.
-pub(super) async fn run_asks(ctx: Arc<Context>, membership: Membership) {
-    let mut ticks = interval(ASK_INTERVAL);
+/// Claims shares of the limits in demand here from their keepers, periodically and when demand rises.
+pub(super) async fn run_claim_requests(ctx: Arc<Context>, membership: Membership) {
+    let mut ticks = interval(CLAIM_REQUEST_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             _ = ticks.tick() => {}
             () = ctx.gate.demand_changed() => sleep(DEMAND_DEBOUNCE).await,
         }
-        send_asks(&ctx, &membership.members());
+        send_claim_requests(&ctx, &membership.members());
     }
 }
 
-/// Sends the asks that are due.
-pub(crate) fn send_asks(ctx: &Context, members: &Members) {
-    for (keeper, ask) in ctx.gate.pending_asks(clock::now()) {
+/// Sends the claim requests that are due.
+pub(crate) fn send_claim_requests(ctx: &Context, members: &Members) {
+    for (keeper, ask) in ctx.gate.claim_requests(clock::now()) {
         send(ctx, members, online(keeper), Message::Ask(ask));
     }
 }
@@ -71,7 +71,7 @@
     let (host, now) = (from.process.host, clock::now());
     match message {
         Message::Ask(ask) => {
-            let answer = ctx.gate.on_ask(from, ask, now);
+            let answer = ctx.gate.on_claim_request(from, ask, now);
             let members = ctx.directory.members();
             if let Some(grant) = answer.grant {
                 send(ctx, &members, from.process, Message::Grant(grant));
--- a/crates/tinbank-online/src/control/mod.rs
+++ b/crates/tinbank-online/src/control/mod.rs
@@ -24,7 +24,7 @@
         return;
     };
     core.spawn(limits::track_hosts(ctx.clone(), membership.clone()));
-    core.spawn(limits::run_asks(ctx.clone(), membership.clone()));
+    core.spawn(limits::run_claim_requests(ctx.clone(), membership.clone()));
 }
 
 /// Updates the routing table with each new host list.
--- a/crates/tinbank-online/src/gate.rs
+++ b/crates/tinbank-online/src/gate.rs
@@ -33,7 +33,7 @@
 pub(crate) struct Gate {
     state: Mutex<State>,
     keeper: Mutex<Keeper>,
-    /// Wakes the task that asks the keepers for larger shares.
+    /// Wakes the task that sends claim requests to keepers.
     demand_changed: Notify,
 }
 
@@ -70,19 +70,19 @@
         self.state().limiter.set_hosts(hosts, now);
     }
 
-    /// Waits until a limit needs a larger share at once.
+    /// Waits until new demand makes a claim request urgent.
     pub(crate) async fn demand_changed(&self) {
         self.demand_changed.notified().await;
     }
 
-    /// Returns the asks that are due, by keeper.
-    pub(crate) fn pending_asks(&self, now: Instant) -> Vec<(id::Host, Ask)> {
+    /// Returns the claim requests that are due, by keeper.
+    pub(crate) fn claim_requests(&self, now: Instant) -> Vec<(id::Host, Ask)> {
         self.keeper().tidy(now);
         self.state().limiter.asks(now)
     }
 
-    /// Answers another host's ask for shares of the limits kept here.
-    pub(crate) fn on_ask(&self, from: Writer, ask: &Ask, now: Instant) -> Answer {
+    /// Answers another host's claim request for limits kept here.
+    pub(crate) fn on_claim_request(&self, from: Writer, ask: &Ask, now: Instant) -> Answer {
         self.keeper().ask(from, ask, now)
     }
 
@@ -93,7 +93,7 @@
         self.notify_if_urgent(&state);
     }
 
-    /// Applies a keeper's recall, after which its limits are asked for again.
+    /// Applies a keeper's recall, after which its limits are claimed again.
     pub(crate) fn on_recall(&self, from: id::Host, recall: &Recall, now: Instant) {
         let mut state = self.state();
         state.limiter.recall(from, recall, now);
--- a/crates/tinbank-online/src/run/tests/limits.rs
+++ b/crates/tinbank-online/src/run/tests/limits.rs
@@ -62,8 +62,8 @@
     permits.filter(Result::is_ok).count()
 }
 
-fn send_asks(fixture: &Fixture) {
-    limits::send_asks(&fixture.ctx, &fixture.ctx.directory.members());
+fn send_claim_requests(fixture: &Fixture) {
+    limits::send_claim_requests(&fixture.ctx, &fixture.ctx.directory.members());
 }
 
 #[tokio::test(start_paused = true)]
@@ -72,7 +72,7 @@
     let request = limited(OTHER_HOST);
     let at_first = count_admitted(&fixture, &request);
 
-    send_asks(&fixture);
+    send_claim_requests(&fixture);
     let sent = fixture.peers.take_sent();
     let [Message::Ask(Ask { round, claims })] = &sent[..] else {
         panic!("one ask: {sent:?}");
@@ -104,7 +104,7 @@
     let request = limited(OWN_HOST);
     count_admitted(&fixture, &request);
 
-    send_asks(&fixture);
+    send_claim_requests(&fixture);
     tokio::time::advance(Duration::from_secs(1)).await;
 
     assert!(fixture.peers.take_sent().is_empty());
@@ -112,11 +112,11 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_ask_from_another_host_is_granted_from_the_share_held_here() {
+async fn a_claim_from_another_host_is_granted_from_the_share_held_here() {
     let fixture = fixture().await;
     let request = limited(OWN_HOST);
     count_admitted(&fixture, &request);
-    send_asks(&fixture);
+    send_claim_requests(&fixture);
     let limit = scope::limit(request.scopes[0].key, Which::Requests);
     let claim = Claim {
         limit,
@@ -133,8 +133,8 @@
 
     limits::on_message(&fixture.ctx, writer(OTHER_HOST), &ask(1));
     let first = fixture.peers.take_sent();
-    send_asks(&fixture);
-    send_asks(&fixture);
+    send_claim_requests(&fixture);
+    send_claim_requests(&fixture);
     limits::on_message(&fixture.ctx, writer(OTHER_HOST), &ask(2));
     let second = fixture.peers.take_sent();
 
@@ -148,11 +148,11 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_recalled_limit_is_asked_for_again_immediately() {
+async fn a_recalled_limit_is_claimed_again_immediately() {
     let fixture = fixture().await;
     let request = limited(OTHER_HOST);
     count_admitted(&fixture, &request);
-    send_asks(&fixture);
+    send_claim_requests(&fixture);
     let sent = fixture.peers.take_sent();
     let [Message::Ask(Ask { round, .. })] = &sent[..] else {
         panic!("one ask: {sent:?}");
@@ -171,10 +171,10 @@
         limits: [limit].into_iter().collect(),
     };
 
-    send_asks(&fixture);
+    send_claim_requests(&fixture);
     let before = fixture.peers.take_sent();
     limits::on_message(&fixture.ctx, writer(OTHER_HOST), &Message::Recall(recall));
-    send_asks(&fixture);
+    send_claim_requests(&fixture);
 
     assert!(before.is_empty(), "{before:?}");
     assert!(matches!(&fixture.peers.take_sent()[..], [Message::Ask(_)]));
