--- a/crates/tinbank-membership/src/edge.rs
+++ b/crates/tinbank-membership/src/driver.rs
@@ -1,4 +1,4 @@
-//! The edge: sockets, clock and random source around the state machine.
+//! Drives the state machine with an endpoint, a clock and a random seed.
 
 use std::{net::SocketAddr, sync::Arc, time::Instant};
 
@@ -18,18 +18,18 @@
 
 use crate::state::{Action, Ahead, Event, Own, State, TICK};
 
-/// What membership needs to know of its own process. Who we are and where we take frames is the endpoint's.
+/// Settings of the local process. Its identity and peer address are the endpoint's.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Where we take HTTP requests.
+    /// Address of the local HTTP server.
     pub http: SocketAddr,
-    /// Where we stand.
     pub failure_domain: id::FailureDomain,
-    /// Peers to ask first; the platform's host list adds to them.
+    /// Addresses of peers to contact first; the platform's host list adds more.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// Who is there. Clones share one state; it lives until the last clone is gone or the endpoint closes.
+/// A handle to the membership of the local process. Clones share one state, which runs until the last clone is dropped or
+/// the endpoint closes.
 #[derive(Clone, Debug)]
 pub struct Membership {
     view: Arc<ArcSwap<Members>>,
@@ -42,14 +42,14 @@
 #[derive(Debug)]
 enum Command {
     Event(Event),
-    /// Tells once all commands before it have been carried out.
+    /// Notifies the sender once all previous commands are done.
     Flush(oneshot::Sender<()>),
 }
 
 impl Membership {
-    /// Starts to send and take heartbeats on an endpoint, on the current runtime.
+    /// Starts to send and receive heartbeats on an endpoint, on the current runtime.
     ///
-    /// The endpoint gives its heartbeats to one membership only; a second one would hear nothing.
+    /// An endpoint delivers its heartbeats to one membership only; a second one receives none.
     pub fn start(endpoint: &Endpoint, settings: Settings) -> Self {
         let own = Own {
             writer: endpoint.writer(),
@@ -82,58 +82,58 @@
         }
     }
 
-    /// Says what we are doing; peers hear of it at once. Phases only move forward.
+    /// Sets the local phase and sends it to peers immediately. An earlier phase than the current one is ignored.
     pub fn set_phase(&self, phase: Phase) {
         self.event(Event::Phase(phase));
     }
 
-    /// Says how far our configuration is.
+    /// Sets the local configuration offset.
     pub fn set_config(&self, next: id::Offset) {
         self.event(Event::Config(next));
     }
 
-    /// Says how busy we are, in per mille.
+    /// Sets the local load, in per mille.
     pub fn set_load(&self, load: u16) {
         self.event(Event::Load(load));
     }
 
-    /// Takes in the platform's host list.
+    /// Merges the platform's host list.
     pub fn set_hosts(&self, list: Arc<hosts::List>) {
         self.event(Event::Hosts(list));
     }
 
-    /// Passes on the first sign that an upstream leaves.
+    /// Reports to all peers that an upstream leaves.
     pub fn upstream_leaving(&self, leaving: Leaving) {
         self.event(Event::UpstreamLeaving(leaving));
     }
 
-    /// Tells peers that we leave, and returns once the news is sent. Heartbeats go on until the endpoint closes, so
-    /// that nobody takes a process that finishes its streams for a dead one.
+    /// Notifies peers that this process leaves, and returns once the updates are sent. Heartbeats continue until the endpoint
+    /// closes, so that a process that finishes its streams is not considered dead.
     pub async fn leave(&self) {
         self.set_phase(Phase::Leaving);
         let (done, flushed) = oneshot::channel();
-        // Without the task there is nobody left to tell.
+        // Fails only if the task has ended, and then there is nothing to flush.
         let _ = self.commands.send(Command::Flush(done));
         let _ = flushed.await;
     }
 
-    /// The members, as they change.
+    /// Subscribes to the members.
     pub fn watch(&self) -> watch::Receiver<Arc<Members>> {
         self.members.clone()
     }
 
-    /// The peer whose configuration is furthest ahead of ours, as long as one is.
+    /// Subscribes to the peer whose configuration is furthest ahead of the local one, if any is.
     pub fn ahead(&self) -> watch::Receiver<Option<Ahead>> {
         self.ahead.clone()
     }
 
-    /// Upstreams that peers or we have seen leaving.
+    /// Subscribes to the leaving upstreams, as reported by peers or locally.
     pub fn leaving(&self) -> watch::Receiver<Arc<Vec<Leaving>>> {
         self.leaving.clone()
     }
 
     fn event(&self, event: Event) {
-        // The task ends only with the endpoint.
+        // Fails only if the endpoint has closed.
         let _ = self.commands.send(Command::Event(event));
     }
 }
@@ -155,8 +155,8 @@
 
 impl Task {
     async fn run(mut self, mut commands: mpsc::UnboundedReceiver<Command>) {
-        let Some(mut heard) = self.endpoint.heartbeats() else {
-            log::error!(event = "second_membership"; "an endpoint was given a second membership");
+        let Some(mut heartbeats) = self.endpoint.heartbeats() else {
+            log::error!(event = "second_membership"; "the endpoint already has a membership; this one receives no heartbeats");
             return;
         };
         let mut ticks = interval(TICK);
@@ -164,14 +164,14 @@
         loop {
             let event = tokio::select! {
                 _ = ticks.tick() => Event::Tick,
-                heard = heard.recv() => match heard {
+                heartbeats = heartbeats.recv() => match heartbeats {
                     Some(Heard { from, heartbeat }) => Event::Heard { from, heartbeat: Box::new(heartbeat) },
                     None => return,
                 },
                 command = commands.recv() => match command {
                     Some(Command::Event(event)) => event,
                     Some(Command::Flush(done)) => {
-                        // Whoever asked may have gone.
+                        // The receiver may have been dropped.
                         let _ = done.send(());
                         continue;
                     }
--- a/crates/tinbank-membership/src/gossip.rs
+++ b/crates/tinbank-membership/src/gossip.rs
@@ -1,19 +1,19 @@
-//! News that is being passed on: each piece a bounded number of times, the freshest first.
+//! A queue of updates to gossip, each sent a bounded number of times, the least sent first.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Times that a piece of news is sent, per doubling of the members. Every process that learns it sends it as often.
+/// Times that each process sends an update, per doubling of the number of members.
 const SENDS_PER_DOUBLING: u32 = 3;
-/// Doublings counted at least: a process that has just started knows few of the members that there are.
+/// Minimum number of doublings, since a process that has just started knows few members.
 const MIN_DOUBLINGS: u32 = 5;
 
-/// Pieces of news by what they are about, with the sends that are left.
+/// Updates to gossip by key, with the number of sends left.
 #[derive(Clone, Debug)]
 pub(crate) struct Queue<K> {
     left: BTreeMap<K, u32>,
-    /// The same, by sends left; the last one is the freshest.
+    /// The same, ordered by sends left; the last one has been sent least.
     order: BTreeSet<(u32, K)>,
-    /// Bound on pieces; the one sent most often gives way.
+    /// Maximum number of updates; beyond it the one with the fewest sends left is dropped.
     limit: usize,
 }
 
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Starts to pass a piece on, or starts again.
+    /// Adds an update, or resets its sends for the given number of members.
     pub(crate) fn push(&mut self, key: K, members: usize) {
         let doublings = usize::BITS - members.leading_zeros();
         let sends = SENDS_PER_DOUBLING * doublings.max(MIN_DOUBLINGS);
@@ -38,12 +38,12 @@
         }
     }
 
-    /// Whether a piece is still being passed on.
+    /// Returns whether an update has sends left.
     pub(crate) fn contains(&self, key: K) -> bool {
         self.left.contains_key(&key)
     }
 
-    /// Takes up to `count` pieces for one frame.
+    /// Takes up to `count` updates for one frame.
     pub(crate) fn take(&mut self, count: usize) -> Vec<K> {
         let freshest: Vec<_> = self.order.iter().rev().take(count).copied().collect();
         for &(left, key) in &freshest {
--- a/crates/tinbank-membership/src/lib.rs
+++ b/crates/tinbank-membership/src/lib.rs
@@ -1,15 +1,15 @@
-//! Heartbeats, suspicion, leaving and the merge with the platform's host list.
+//! Cluster membership: heartbeats, failure detection, leaving and the merge with the platform's host list.
 //!
-//! [`state::State`] decides and does no I/O; [`Membership`] drives it with the clock, the sockets and a random source.
+//! [`state::State`] is a state machine without I/O; [`Membership`] drives it with a clock, an endpoint and a random seed.
 //! See `docs/design/membership.md`.
 
-mod claim;
-mod edge;
+mod driver;
 mod gossip;
+mod member_record;
 mod probe;
 pub mod rendezvous;
 pub mod state;
 mod table;
 
-pub use edge::{Membership, Settings};
+pub use driver::{Membership, Settings};
 pub use state::Ahead;
--- a/crates/tinbank-membership/src/claim.rs
+++ b/crates/tinbank-membership/src/member_record.rs
@@ -1,4 +1,4 @@
-//! Claims on a process, and which of two holds.
+//! The gossiped record of a process, and which of two records supersedes the other.
 
 use std::net::SocketAddr;
 
@@ -8,9 +8,9 @@
     record::Writer,
 };
 
-/// What is claimed of one start of a process.
+/// The state of one incarnation of a process, as it or another process reports it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Claim {
+pub(crate) struct MemberRecord {
     pub(crate) incarnation: id::Incarnation,
     pub(crate) refutation: u32,
     pub(crate) health: Health,
@@ -20,20 +20,20 @@
     pub(crate) failure_domain: id::FailureDomain,
 }
 
-impl Claim {
-    pub(crate) fn from_news(news: MemberUpdate) -> Self {
+impl MemberRecord {
+    pub(crate) fn from_update(update: MemberUpdate) -> Self {
         Self {
-            incarnation: news.member.incarnation,
-            refutation: news.refutation,
-            health: news.health,
-            phase: news.phase,
-            peer: news.peer,
-            http: news.http,
-            failure_domain: news.failure_domain,
+            incarnation: update.member.incarnation,
+            refutation: update.refutation,
+            health: update.health,
+            phase: update.phase,
+            peer: update.peer,
+            http: update.http,
+            failure_domain: update.failure_domain,
         }
     }
 
-    pub(crate) fn to_news(&self, process: id::Process) -> MemberUpdate {
+    pub(crate) fn to_update(&self, process: id::Process) -> MemberUpdate {
         MemberUpdate {
             member: Writer {
                 process,
@@ -48,13 +48,12 @@
         }
     }
 
-    /// What orders claims: a later start, then a later refutation, then the worse health, then the later phase.
-    fn rank(&self) -> (id::Incarnation, u32, Health, Phase) {
+    /// Orders records by later incarnation, later refutation, worse health and later phase.
+    fn precedence(&self) -> (id::Incarnation, u32, Health, Phase) {
         (self.incarnation, self.refutation, self.health, self.phase)
     }
 
-    /// Whether this claim holds against the other one.
-    pub(crate) fn beats(&self, other: &Self) -> bool {
-        self.rank() > other.rank()
+    pub(crate) fn supersedes(&self, other: &Self) -> bool {
+        self.precedence() > other.precedence()
     }
 }
--- a/crates/tinbank-membership/src/probe.rs
+++ b/crates/tinbank-membership/src/probe.rs
@@ -1,4 +1,4 @@
-//! Probes that wait for an answer, and suspicions that wait for a refutation.
+//! Tracks probes that wait for an answer, and suspicions that wait for a refutation.
 
 use std::{
     collections::BTreeMap,
@@ -7,88 +7,88 @@
 
 use tinbank_base::id;
 
-/// Time that a probed process has to answer each of its probes.
-pub(crate) const ANSWER_WITHIN: Duration = Duration::from_millis(900);
-/// Probes without an answer until a process is suspected.
-const PROBES: u8 = 2;
-/// Time that a suspect has to refute.
-pub(crate) const REFUTE_WITHIN: Duration = Duration::from_secs(5);
+/// Response timeout of one probe.
+pub(crate) const PROBE_TIMEOUT: Duration = Duration::from_millis(900);
+/// Number of unanswered probes after which a process is suspected.
+const MAX_PROBES: u8 = 2;
+/// Time after which a suspect that has not refuted is dead.
+pub(crate) const SUSPICION_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Copy, Debug)]
-struct Waiting {
+struct PendingProbe {
     until: Instant,
     sent: u8,
 }
 
-/// What has become due.
+/// An action that is due for a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Due {
-    /// Probe it once more.
-    Again(id::Process),
-    /// It stays silent.
+    /// Probe it again.
+    Probe(id::Process),
+    /// Suspect it: it answered no probe.
     Suspect(id::Process),
-    /// It did not refute.
+    /// Declare it dead: it did not refute the suspicion.
     Dead(id::Process),
 }
 
-/// Probes and suspicions by process.
+/// Pending probes and suspicions by process.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Probes {
-    waiting: BTreeMap<id::Process, Waiting>,
+    pending: BTreeMap<id::Process, PendingProbe>,
     suspects: BTreeMap<id::Process, Instant>,
 }
 
 impl Probes {
-    pub(crate) fn sent(&mut self, process: id::Process, now: Instant) {
-        let fresh = Waiting {
+    pub(crate) fn record_probe(&mut self, process: id::Process, now: Instant) {
+        let fresh = PendingProbe {
             until: now,
             sent: 0,
         };
-        let waiting = self.waiting.entry(process).or_insert(fresh);
-        // Among few processes the next probe comes before the answer is due: it must not put the deadline off.
-        if waiting.until <= now {
-            waiting.until = now + ANSWER_WITHIN;
-            waiting.sent += 1;
+        let pending = self.pending.entry(process).or_insert(fresh);
+        // With few processes the next probe is sent before the timeout of this one, and must not extend it.
+        if pending.until <= now {
+            pending.until = now + PROBE_TIMEOUT;
+            pending.sent += 1;
         }
     }
 
-    /// It was heard of directly.
-    pub(crate) fn answered(&mut self, process: id::Process) {
-        self.waiting.remove(&process);
+    /// Records a heartbeat from the process itself.
+    pub(crate) fn record_answer(&mut self, process: id::Process) {
+        self.pending.remove(&process);
     }
 
     pub(crate) fn suspect(&mut self, process: id::Process, now: Instant) {
-        self.suspects.entry(process).or_insert(now + REFUTE_WITHIN);
+        self.suspects.entry(process).or_insert(now + SUSPICION_TIMEOUT);
     }
 
     pub(crate) fn clear(&mut self, process: id::Process) {
-        self.waiting.remove(&process);
+        self.pending.remove(&process);
         self.suspects.remove(&process);
     }
 
-    /// The suspects, to be probed until they refute or are held for dead.
+    /// Returns the suspects.
     pub(crate) fn suspects(&self) -> impl ExactSizeIterator<Item = id::Process> {
         self.suspects.keys().copied()
     }
 
-    /// We were paused: the silence may be ours, so everyone gets his time once more.
-    pub(crate) fn forgive(&mut self, now: Instant) {
-        self.waiting.clear();
+    /// Restarts all timeouts after a pause of the local process, which may have missed the answers.
+    pub(crate) fn restart_timeouts(&mut self, now: Instant) {
+        self.pending.clear();
         for until in self.suspects.values_mut() {
-            *until = now + REFUTE_WITHIN;
+            *until = now + SUSPICION_TIMEOUT;
         }
     }
 
-    /// Takes out what is due. A process that is to be probed again stays in until it is.
-    pub(crate) fn due(&mut self, now: Instant) -> Vec<Due> {
+    /// Removes and returns what is due, except processes to probe again: those stay until they are probed.
+    pub(crate) fn take_due(&mut self, now: Instant) -> Vec<Due> {
         let mut due = Vec::new();
-        self.waiting.retain(|&process, waiting| {
-            if waiting.until > now {
+        self.pending.retain(|&process, pending| {
+            if pending.until > now {
                 return true;
             }
-            let again = waiting.sent < PROBES;
+            let again = pending.sent < MAX_PROBES;
             due.push(if again {
-                Due::Again(process)
+                Due::Probe(process)
             } else {
                 Due::Suspect(process)
             });
--- a/crates/tinbank-membership/src/state/event.rs
+++ b/crates/tinbank-membership/src/state/event.rs
@@ -1,4 +1,4 @@
-//! What the state machine takes in and gives out.
+//! Events and actions of the state machine.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -10,73 +10,71 @@
     record::Writer,
 };
 
-/// Our own process.
+/// The local process.
 #[derive(Clone, Debug)]
 pub struct Own {
-    /// Who we are.
     pub writer: Writer,
-    /// Where we take frames.
+    /// Address for frames from peers.
     pub peer: SocketAddr,
-    /// Where we take HTTP requests.
+    /// Address of the HTTP server.
     pub http: SocketAddr,
-    /// Where we stand.
     pub failure_domain: id::FailureDomain,
 }
 
-/// What happened.
+/// An event to handle.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// [`TICK`](super::TICK) has passed.
     Tick,
-    /// A heartbeat came.
+    /// A heartbeat was received.
     Heard {
-        /// Who sent it.
+        /// The sender.
         from: Writer,
-        /// What it says.
+        /// The received heartbeat.
         heartbeat: Box<Heartbeat>,
     },
-    /// We are in another phase.
+    /// The local process has entered a phase.
     Phase(Phase),
-    /// Our configuration stream up to before this offset is in force.
+    /// The local configuration is active up to before this offset.
     Config(id::Offset),
-    /// We use so many per mille of our time.
+    /// The local load, in per mille.
     Load(u16),
-    /// The platform's host list.
+    /// The platform's host list was read.
     Hosts(Arc<hosts::List>),
-    /// We saw the first sign that an upstream leaves.
+    /// The local process detected that an upstream leaves.
     UpstreamLeaving(Leaving),
 }
 
-/// What is to be done.
+/// An action to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a heartbeat.
     Send {
-        /// Where to.
+        /// The receiver's peer address.
         to: SocketAddr,
-        /// What it says.
+        /// The heartbeat to send.
         heartbeat: Box<Heartbeat>,
     },
     /// Publish [`State::members`](super::State::members): it changed.
     Members,
     /// Publish [`State::leaving`](super::State::leaving): it changed.
     Leaving,
-    /// Publish who is ahead of us.
+    /// Publish the peer whose configuration is ahead, if any is.
     Ahead(Option<Ahead>),
-    /// Note an event of the time line about another process.
+    /// Record a timeline event about another process.
     Note {
-        /// Which process.
+        /// The other process.
         process: id::Process,
-        /// What happened.
+        /// The event.
         kind: event::Kind,
     },
 }
 
-/// A peer whose configuration is further than ours.
+/// A peer whose configuration is ahead of the local one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ahead {
-    /// Where to ask it for the entries.
+    /// Address to request the missing entries from.
     pub peer: SocketAddr,
-    /// Its configuration stream up to before this offset is in force.
+    /// The peer's configuration is active up to before this offset.
     pub config: id::Offset,
 }
--- a/crates/tinbank-membership/src/state/mod.rs
+++ b/crates/tinbank-membership/src/state/mod.rs
@@ -1,10 +1,11 @@
-//! The state machine: events in, actions out. It reads no clock and draws nothing but from the seed it was given.
+//! The state machine of membership: it handles events and returns actions. It is deterministic for a given seed and does
+//! no I/O.
 //!
-//! [`probe`] asks for signs of life, [`learn`] takes in what others say, [`upstream`] keeps the upstreams that leave,
-//! and [`send`] writes heartbeats. See `docs/design/membership.md`.
+//! [`probe`] detects failures, [`receive`] applies heartbeats, [`upstream`] tracks leaving upstreams, and [`send`] creates
+//! heartbeats. See `docs/design/membership.md`.
 
 mod event;
-mod learn;
+mod receive;
 mod probe;
 mod send;
 mod upstream;
@@ -27,12 +28,12 @@
 pub use self::event::{Action, Ahead, Event, Own};
 use crate::{gossip::Queue, probe::Probes, table::Table};
 
-/// Time between ticks: each sends one probe.
+/// Interval between ticks, each of which sends one probe.
 pub const TICK: Duration = Duration::from_millis(600);
-/// Pieces of news that wait to be passed on.
-const MAX_QUEUE: usize = 512;
+/// Maximum number of updates about processes that wait to be sent.
+const MAX_PENDING_UPDATES: usize = 512;
 
-/// All that one process knows of the others.
+/// The membership state of one process.
 #[derive(Clone, Debug)]
 pub struct State {
     own: Own,
@@ -44,20 +45,20 @@
     hosts: Arc<hosts::List>,
     table: Table,
     probes: Probes,
-    news: Queue<id::Process>,
+    pending_updates: Queue<id::Process>,
     upstreams: BTreeMap<id::Upstream, Leaving>,
-    upstream_news: Queue<id::Upstream>,
+    pending_upstreams: Queue<id::Upstream>,
     ahead: Option<Ahead>,
-    /// Processes still to be probed in this round; every one has its turn.
-    round: Vec<id::Process>,
+    /// Processes still to probe in this round, in which each is probed once.
+    probe_round: Vec<id::Process>,
     ticks: u64,
     frames: u64,
-    ticked: Instant,
+    last_tick: Instant,
     random: SmallRng,
 }
 
 impl State {
-    /// Knows ourselves and the seeds. All random choices follow from `seed`.
+    /// Creates a state that knows only the local process and the seeds. `seed` determines all random choices.
     pub fn new(own: Own, seeds: Vec<SocketAddr>, seed: u64, now: Instant) -> Self {
         let seeds = seeds
             .into_iter()
@@ -73,38 +74,38 @@
             hosts: Arc::default(),
             table: Table::default(),
             probes: Probes::default(),
-            news: Queue::new(MAX_QUEUE),
+            pending_updates: Queue::new(MAX_PENDING_UPDATES),
             upstreams: BTreeMap::new(),
-            upstream_news: Queue::new(upstream::MAX_UPSTREAMS),
+            pending_upstreams: Queue::new(upstream::MAX_UPSTREAMS),
             ahead: None,
-            round: Vec::new(),
+            probe_round: Vec::new(),
             ticks: 0,
             frames: 0,
-            ticked: now,
+            last_tick: now,
             random: SmallRng::seed_from_u64(seed),
         }
     }
 
-    /// Takes in an event and tells what to do.
+    /// Handles an event and returns the actions to perform.
     pub fn handle(&mut self, event: Event, now: Instant) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
             Event::Tick => self.tick(now, &mut actions),
-            Event::Heard { from, heartbeat } => self.heard(from, *heartbeat, now, &mut actions),
+            Event::Heard { from, heartbeat } => self.on_heartbeat(from, *heartbeat, now, &mut actions),
             Event::Phase(phase) => self.set_phase(phase, &mut actions),
             Event::Config(config) => self.set_config(config, &mut actions),
             Event::Load(load) => self.load = load,
             Event::Hosts(list) => self.set_hosts(list, now, &mut actions),
             Event::UpstreamLeaving(leaving) => {
-                if self.learn_upstream(leaving, &mut actions) {
-                    self.spread(&mut actions);
+                if self.apply_leaving_upstream(leaving, &mut actions) {
+                    self.send_urgent(&mut actions);
                 }
             }
         }
         actions
     }
 
-    /// All that are known, ourselves included, by process.
+    /// Returns all known members including the local one, ordered by process.
     pub fn members(&self) -> Members {
         let mut members: Vec<_> = self
             .table
@@ -117,7 +118,7 @@
         Members { members }
     }
 
-    /// Upstreams that we or peers saw leaving.
+    /// Returns the leaving upstreams, as reported by peers or locally.
     pub fn leaving(&self) -> Vec<Leaving> {
         self.upstreams.values().copied().collect()
     }
@@ -147,7 +148,7 @@
         }
         self.phase = phase;
         actions.push(Action::Members);
-        self.spread(actions);
+        self.send_urgent(actions);
     }
 
     fn set_config(&mut self, config: id::Offset, actions: &mut Vec<Action>) {
@@ -164,10 +165,10 @@
             .table
             .iter()
             .filter(|(_, row)| row.config > self.config)
-            .filter(|(_, row)| matches!(row.claim.health, Health::Alive | Health::Leaving))
+            .filter(|(_, row)| matches!(row.record.health, Health::Alive | Health::Leaving))
             .max_by_key(|(_, row)| row.config);
         let ahead = furthest.map(|(_, row)| Ahead {
-            peer: row.claim.peer,
+            peer: row.record.peer,
             config: row.config,
         });
         if ahead != self.ahead {
--- a/crates/tinbank-membership/src/state/probe.rs
+++ b/crates/tinbank-membership/src/state/probe.rs
@@ -1,4 +1,4 @@
-//! Whom to ask for a sign of life, and what its lack means.
+//! Failure detection: chooses the processes to probe, and suspects those that do not answer.
 
 use std::time::{Duration, Instant};
 
@@ -9,60 +9,60 @@
 use tinbank_base::{frame::heartbeat::Health, id};
 
 use super::{Action, State};
-use crate::{claim::Claim, probe::Due};
+use crate::{member_record::MemberRecord, probe::Due};
 
-/// A tick that comes this much late means that we were paused, not the others.
-const PAUSED: Duration = Duration::from_millis(1_500);
-/// Every which tick also probes a process that is held for dead, so that a split heals.
-const REVIVE_EVERY: u64 = 4;
-/// Every which tick also probes a seed, so that processes that know nothing of each other find each other.
-const SEED_EVERY: u64 = 40;
-/// Every which tick forgets the long dead.
-const FORGET_EVERY: u64 = 120;
+/// A longer time between ticks means that the local process was paused.
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(1_500);
+/// Number of ticks between probes of a dead process, which heal network partitions.
+const DEAD_PROBE_TICKS: u64 = 4;
+/// Number of ticks between probes of a seed, which connect clusters that do not know each other.
+const SEED_PROBE_TICKS: u64 = 40;
+/// Number of ticks between removals of expired dead processes.
+const FORGET_TICKS: u64 = 120;
 
 impl State {
     pub(super) fn tick(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        if now.saturating_duration_since(self.ticked) > PAUSED {
-            self.probes.forgive(now);
+        if now.saturating_duration_since(self.last_tick) > PAUSE_THRESHOLD {
+            self.probes.restart_timeouts(now);
         }
-        self.ticked = now;
+        self.last_tick = now;
         self.ticks += 1;
-        for due in self.probes.due(now) {
+        for due in self.probes.take_due(now) {
             match due {
-                Due::Again(process) => self.probe(process, now, actions),
-                Due::Suspect(process) => self.suspect(process, now, actions),
-                Due::Dead(process) => self.bury(process, now, actions),
+                Due::Probe(process) => self.probe(process, now, actions),
+                Due::Suspect(process) => self.mark_suspect(process, now, actions),
+                Due::Dead(process) => self.mark_dead(process, now, actions),
             }
         }
-        let next = self.next_in_round();
+        let next = self.next_probe_target();
         if let Some(process) = next {
             self.probe(process, now, actions);
         }
-        self.probe_a_suspect(now, actions);
-        if self.ticks.is_multiple_of(REVIVE_EVERY) {
-            self.revive(actions);
+        self.probe_suspect(now, actions);
+        if self.ticks.is_multiple_of(DEAD_PROBE_TICKS) {
+            self.probe_dead(actions);
         }
-        if next.is_none() || self.ticks.is_multiple_of(SEED_EVERY) {
-            self.ask_a_seed(actions);
+        if next.is_none() || self.ticks.is_multiple_of(SEED_PROBE_TICKS) {
+            self.probe_seed(actions);
         }
-        if self.ticks.is_multiple_of(FORGET_EVERY) {
-            self.table.forget(now);
+        if self.ticks.is_multiple_of(FORGET_TICKS) {
+            self.table.remove_expired(now);
         }
     }
 
-    fn next_in_round(&mut self) -> Option<id::Process> {
-        if self.round.is_empty() {
-            self.round = self
+    fn next_probe_target(&mut self) -> Option<id::Process> {
+        if self.probe_round.is_empty() {
+            self.probe_round = self
                 .table
                 .iter()
-                .filter(|(_, row)| row.claim.health != Health::Dead)
+                .filter(|(_, row)| row.record.health != Health::Dead)
                 .map(|(process, _)| process)
                 .collect();
-            self.round.shuffle(&mut self.random);
+            self.probe_round.shuffle(&mut self.random);
         }
-        while let Some(process) = self.round.pop() {
+        while let Some(process) = self.probe_round.pop() {
             let row = self.table.get(process);
-            if row.is_some_and(|row| row.claim.health != Health::Dead) {
+            if row.is_some_and(|row| row.record.health != Health::Dead) {
                 return Some(process);
             }
         }
@@ -74,13 +74,13 @@
             self.probes.clear(process);
             return;
         };
-        self.probes.sent(process, now);
+        self.probes.record_probe(process, now);
         let heartbeat = self.heartbeat(Some(process), true);
         actions.push(Action::Send { to, heartbeat });
     }
 
-    /// A suspect hears of the suspicion from many, so that lost frames don't cost it its life.
-    fn probe_a_suspect(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    /// Probes a random suspect. All processes do, so that lost frames do not keep it from refuting.
+    fn probe_suspect(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let count = self.probes.suspects().len();
         if count == 0 {
             return;
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Speaks to one that is held for dead: it may be our side that was cut off.
-    fn revive(&mut self, actions: &mut Vec<Action>) {
+    /// Probes a random dead process, since the local side may be the one that was partitioned.
+    fn probe_dead(&mut self, actions: &mut Vec<Action>) {
         let count = self.table.dead().len();
         if count == 0 {
             return;
@@ -107,7 +107,7 @@
         actions.push(Action::Send { to, heartbeat });
     }
 
-    fn ask_a_seed(&mut self, actions: &mut Vec<Action>) {
+    fn probe_seed(&mut self, actions: &mut Vec<Action>) {
         let Some(&to) = self.seeds.choose(&mut self.random) else {
             return;
         };
@@ -115,7 +115,7 @@
         actions.push(Action::Send { to, heartbeat });
     }
 
-    pub(super) fn suspect(
+    pub(super) fn mark_suspect(
         &mut self,
         process: id::Process,
         now: Instant,
@@ -124,28 +124,28 @@
         let Some(row) = self.table.get(process) else {
             return;
         };
-        match row.claim.health {
+        match row.record.health {
             Health::Alive => {
-                let claim = Claim {
+                let record = MemberRecord {
                     health: Health::Suspect,
-                    ..row.claim.clone()
+                    ..row.record.clone()
                 };
-                self.learn(process, claim, now, actions);
+                self.apply(process, record, now, actions);
             }
-            // It said that it leaves, which outranks a suspicion; the doubt stays with us.
+            // Leaving supersedes a suspicion, so the suspicion is only tracked locally.
             Health::Suspect | Health::Leaving => self.probes.suspect(process, now),
             Health::Dead => {}
         }
     }
 
-    fn bury(&mut self, process: id::Process, now: Instant, actions: &mut Vec<Action>) {
+    fn mark_dead(&mut self, process: id::Process, now: Instant, actions: &mut Vec<Action>) {
         let Some(row) = self.table.get(process) else {
             return;
         };
-        let claim = Claim {
+        let record = MemberRecord {
             health: Health::Dead,
-            ..row.claim.clone()
+            ..row.record.clone()
         };
-        self.learn(process, claim, now, actions);
+        self.apply(process, record, now, actions);
     }
 }
--- a/crates/tinbank-membership/src/state/learn.rs
+++ b/crates/tinbank-membership/src/state/receive.rs
@@ -1,4 +1,4 @@
-//! What others say of themselves, of third processes and of us.
+//! Applies received heartbeats: what they report of their sender, of third processes and of the local process.
 
 use std::time::Instant;
 
@@ -10,10 +10,10 @@
 };
 
 use super::{Action, State};
-use crate::claim::Claim;
+use crate::member_record::MemberRecord;
 
 impl State {
-    pub(super) fn heard(
+    pub(super) fn on_heartbeat(
         &mut self,
         from: Writer,
         heartbeat: Heartbeat,
@@ -25,17 +25,17 @@
             return;
         }
         let known = self.table.get(process);
-        if known.is_some_and(|row| row.claim.incarnation > from.incarnation) {
+        if known.is_some_and(|row| row.record.incarnation > from.incarnation) {
             return;
         }
-        let mut urgent = self.learn_sender(from, &heartbeat, now, actions);
-        for news in heartbeat.news {
-            urgent |= self.learn_news(news, now, actions);
+        let mut urgent = self.apply_sender(from, &heartbeat, now, actions);
+        for update in heartbeat.news {
+            urgent |= self.apply_update(update, now, actions);
         }
         for leaving in heartbeat.leaving {
-            urgent |= self.learn_upstream(leaving, actions);
+            urgent |= self.apply_leaving_upstream(leaving, actions);
         }
-        if heartbeat.answer || self.is_accused(process) {
+        if heartbeat.answer || self.is_suspect_or_dead(process) {
             let reply = self.heartbeat(Some(process), false);
             actions.push(Action::Send {
                 to: heartbeat.peer,
@@ -43,12 +43,12 @@
             });
         }
         if urgent {
-            self.spread(actions);
+            self.send_urgent(actions);
         }
     }
 
-    /// Takes in what the sender says of itself, and tells whether it is urgent news.
-    fn learn_sender(
+    /// Applies the sender's own state, and returns whether the change is urgent.
+    fn apply_sender(
         &mut self,
         from: Writer,
         heartbeat: &Heartbeat,
@@ -57,7 +57,7 @@
     ) -> bool {
         let process = from.process;
         let leaves = heartbeat.phase == Phase::Leaving;
-        let claim = Claim {
+        let record = MemberRecord {
             incarnation: from.incarnation,
             refutation: heartbeat.refutation,
             health: if leaves {
@@ -70,9 +70,9 @@
             http: heartbeat.http,
             failure_domain: heartbeat.failure_domain.clone(),
         };
-        let new = self.learn(process, claim, now, actions);
-        self.probes.answered(process);
-        if !self.is_accused(process) {
+        let new = self.apply(process, record, now, actions);
+        self.probes.record_answer(process);
+        if !self.is_suspect_or_dead(process) {
             self.probes.clear(process);
         }
         if self.table.set_config(process, heartbeat.config) {
@@ -82,49 +82,49 @@
         new && leaves
     }
 
-    /// Whether we hold a process for worse than it is, if it speaks.
-    pub(super) fn is_accused(&self, process: id::Process) -> bool {
+    /// Returns whether a process is suspect or dead, which it refutes if it is alive.
+    pub(super) fn is_suspect_or_dead(&self, process: id::Process) -> bool {
         self.table
             .get(process)
-            .is_some_and(|row| matches!(row.claim.health, Health::Suspect | Health::Dead))
+            .is_some_and(|row| matches!(row.record.health, Health::Suspect | Health::Dead))
     }
 
-    /// Takes in news of a third process or of ourselves, and tells whether it is urgent.
-    fn learn_news(&mut self, news: MemberUpdate, now: Instant, actions: &mut Vec<Action>) -> bool {
-        if news.member.process == self.own.writer.process {
-            return self.refute(&news);
+    /// Applies an update about a third or the local process, and returns whether the change is urgent.
+    fn apply_update(&mut self, update: MemberUpdate, now: Instant, actions: &mut Vec<Action>) -> bool {
+        if update.member.process == self.own.writer.process {
+            return self.refute(&update);
         }
-        let leaves = news.health == Health::Leaving;
-        let process = news.member.process;
-        self.learn(process, Claim::from_news(news), now, actions) && leaves
+        let leaves = update.health == Health::Leaving;
+        let process = update.member.process;
+        self.apply(process, MemberRecord::from_update(update), now, actions) && leaves
     }
 
-    /// Contradicts a claim that we are silent or dead.
-    fn refute(&mut self, news: &MemberUpdate) -> bool {
-        let accused = matches!(news.health, Health::Suspect | Health::Dead);
+    /// Refutes an update that the local process is suspect or dead. Returns whether it did.
+    fn refute(&mut self, update: &MemberUpdate) -> bool {
+        let suspected = matches!(update.health, Health::Suspect | Health::Dead);
         let about_us =
-            news.member.incarnation == self.own.writer.incarnation || news.member.incarnation == 0;
-        if !accused || !about_us || news.refutation < self.refutation {
+            update.member.incarnation == self.own.writer.incarnation || update.member.incarnation == 0;
+        if !suspected || !about_us || update.refutation < self.refutation {
             return false;
         }
-        self.refutation = news.refutation.saturating_add(1);
+        self.refutation = update.refutation.saturating_add(1);
         true
     }
 
-    /// Takes in a claim on another process, passes it on if it is new, and tells whether it was.
-    pub(super) fn learn(
+    /// Applies a record of another process, queues it for gossip if it is new, and returns whether it was.
+    pub(super) fn apply(
         &mut self,
         process: id::Process,
-        claim: Claim,
+        record: MemberRecord,
         now: Instant,
         actions: &mut Vec<Action>,
     ) -> bool {
         let before = self.table.get(process);
-        // That a listed process is as listed is no news, or a start of the whole fleet would drown all other news.
-        let expected = before.is_some_and(|row| row.is_as_listed(&claim));
-        let before = before.map(|row| row.claim.health);
-        let health = claim.health;
-        if !self.table.learn(process, claim, now) {
+        // A process that is as listed is not gossiped, or a start of the whole fleet would delay all other updates.
+        let expected = before.is_some_and(|row| row.is_as_listed(&record));
+        let before = before.map(|row| row.record.health);
+        let health = record.health;
+        if !self.table.apply(process, record, now) {
             return false;
         }
         match health {
@@ -142,7 +142,7 @@
             actions.push(Action::Note { process, kind });
         }
         if !expected {
-            self.news.push(process, self.table.len());
+            self.pending_updates.push(process, self.table.len());
         }
         actions.push(Action::Members);
         true
--- a/crates/tinbank-membership/src/state/send.rs
+++ b/crates/tinbank-membership/src/state/send.rs
@@ -1,4 +1,4 @@
-//! What heartbeats say, and whom urgent news goes to.
+//! Creates heartbeats, and sends urgent updates immediately.
 
 use rand::{Rng, seq::SliceRandom};
 use smallvec::SmallVec;
@@ -9,27 +9,27 @@
 
 use super::{Action, State};
 
-/// Pieces of news of processes in one heartbeat.
-const MAX_NEWS: usize = 5;
-/// Bytes of news of processes in one heartbeat, whatever the length of the names.
-const MAX_NEWS_BYTES: usize = 700;
-/// Bytes of one piece of news but for the name of its failure domain; IPv6 addresses and full counters.
-const NEWS_BYTES: usize = 70;
-/// Pieces of news of upstreams in one heartbeat.
+/// Maximum number of updates about processes in one heartbeat.
+const MAX_UPDATES: usize = 5;
+/// Maximum size of these updates in bytes, including the names of failure domains.
+const MAX_TOTAL_UPDATE_BYTES: usize = 700;
+/// Maximum size of one update in bytes, without the name of its failure domain.
+const UPDATE_BYTES: usize = 70;
+/// Maximum number of updates about upstreams in one heartbeat.
 const MAX_LEAVING: usize = 8;
-/// Peers that urgent news is sent to at once by each who learns it.
+/// Number of peers that a process sends an urgent update to immediately.
 const URGENT_FANOUT: usize = 4;
-/// Every which frame without news repeats what is known of one process, for those who missed it.
-const REPEAT_EVERY: u64 = 4;
+/// Of the heartbeats without an update, one in this many repeats a known record, for peers that missed it.
+const REPEAT_FRAMES: u64 = 4;
 
 impl State {
-    /// Sends what is new to a few at once; each who learns it by this does the same.
-    pub(super) fn spread(&mut self, actions: &mut Vec<Action>) {
+    /// Sends pending updates to a few random peers immediately. Peers for which they are new do the same.
+    pub(super) fn send_urgent(&mut self, actions: &mut Vec<Action>) {
         let mut targets: Vec<_> = self
             .table
             .iter()
-            .filter(|(_, row)| row.claim.health == Health::Alive)
-            .map(|(process, row)| (process, row.claim.peer))
+            .filter(|(_, row)| row.record.health == Health::Alive)
+            .map(|(process, row)| (process, row.record.peer))
             .collect();
         let (chosen, _) = targets.partial_shuffle(&mut self.random, URGENT_FANOUT);
         for (process, to) in chosen {
@@ -47,26 +47,27 @@
             failure_domain: self.own.failure_domain.clone(),
             config: self.config,
             load: self.load,
-            news: self.pick_news(to),
-            leaving: self.pick_leaving(),
+            news: self.select_updates(to),
+            leaving: self.select_leaving(),
             answer,
         })
     }
 
-    /// First what the receiver has to refute, then what is fresh, then some at random: many for a receiver that is new.
-    fn pick_news(&mut self, to: Option<id::Process>) -> SmallVec<[MemberUpdate; 4]> {
-        let accused = to.filter(|&process| self.is_accused(process));
-        let mut chosen: SmallVec<[_; MAX_NEWS]> = accused.into_iter().collect();
-        for process in self.news.take(MAX_NEWS - chosen.len()) {
+    /// Selects what the receiver may have to refute, then pending updates, then random records: as many as fit if the
+    /// receiver is unknown or new.
+    fn select_updates(&mut self, to: Option<id::Process>) -> SmallVec<[MemberUpdate; 4]> {
+        let suspected = to.filter(|&process| self.is_suspect_or_dead(process));
+        let mut chosen: SmallVec<[_; MAX_UPDATES]> = suspected.into_iter().collect();
+        for process in self.pending_updates.take(MAX_UPDATES - chosen.len()) {
             if Some(process) != to {
                 chosen.push(process);
             }
         }
         self.frames += 1;
-        let repeats = if to.is_none_or(|process| self.news.contains(process)) {
-            MAX_NEWS - chosen.len()
+        let repeats = if to.is_none_or(|process| self.pending_updates.contains(process)) {
+            MAX_UPDATES - chosen.len()
         } else {
-            usize::from(chosen.is_empty() && self.frames.is_multiple_of(REPEAT_EVERY))
+            usize::from(chosen.is_empty() && self.frames.is_multiple_of(REPEAT_FRAMES))
         };
         for _ in 0..repeats.min(self.table.len()) {
             let index = self.random.random_range(0..self.table.len());
@@ -75,22 +76,22 @@
             chosen.extend(new);
         }
         let mut bytes = 0;
-        let mut news = SmallVec::new();
+        let mut updates = SmallVec::new();
         for process in chosen {
             let Some(row) = self.table.get(process) else {
                 continue;
             };
-            bytes += NEWS_BYTES + row.claim.failure_domain.len();
-            if bytes > MAX_NEWS_BYTES {
+            bytes += UPDATE_BYTES + row.record.failure_domain.len();
+            if bytes > MAX_TOTAL_UPDATE_BYTES {
                 break;
             }
-            news.push(row.claim.to_news(process));
+            updates.push(row.record.to_update(process));
         }
-        news
+        updates
     }
 
-    fn pick_leaving(&mut self) -> SmallVec<[Leaving; 4]> {
-        let chosen = self.upstream_news.take(MAX_LEAVING);
+    fn select_leaving(&mut self) -> SmallVec<[Leaving; 4]> {
+        let chosen = self.pending_upstreams.take(MAX_LEAVING);
         chosen
             .into_iter()
             .filter_map(|upstream| self.upstreams.get(&upstream).copied())
--- a/crates/tinbank-membership/src/state/upstream.rs
+++ b/crates/tinbank-membership/src/state/upstream.rs
@@ -1,4 +1,4 @@
-//! Which upstreams leave, by the host list and by what peers saw.
+//! Tracks leaving upstreams, from the host list and from reports of peers.
 
 use std::{sync::Arc, time::Instant};
 
@@ -6,7 +6,7 @@
 
 use super::{Action, State};
 
-/// Upstreams remembered as leaving.
+/// Maximum number of leaving upstreams that are tracked.
 pub(super) const MAX_UPSTREAMS: usize = 1_024;
 
 impl State {
@@ -20,7 +20,7 @@
             return;
         }
         self.table
-            .merge(&list.members, self.own.writer.process, now);
+            .merge_host_list(&list.members, self.own.writer.process, now);
         actions.push(Action::Members);
         let before = std::mem::replace(&mut self.hosts, list.clone());
         let count = self.upstreams.len();
@@ -37,15 +37,15 @@
                     upstream: upstream.upstream,
                     list: before.version,
                 };
-                urgent |= self.learn_upstream(leaving, actions);
+                urgent |= self.apply_leaving_upstream(leaving, actions);
             }
         }
         if urgent {
-            self.spread(actions);
+            self.send_urgent(actions);
         }
     }
 
-    pub(super) fn learn_upstream(&mut self, leaving: Leaving, actions: &mut Vec<Action>) -> bool {
+    pub(super) fn apply_leaving_upstream(&mut self, leaving: Leaving, actions: &mut Vec<Action>) -> bool {
         let known = self.upstreams.get(&leaving.upstream);
         let old = known.is_some_and(|known| known.list >= leaving.list);
         let full = known.is_none() && self.upstreams.len() >= MAX_UPSTREAMS;
@@ -53,14 +53,14 @@
             return false;
         }
         self.upstreams.insert(leaving.upstream, leaving);
-        self.upstream_news
+        self.pending_upstreams
             .push(leaving.upstream, self.table.len() + 1);
         actions.push(Action::Leaving);
         true
     }
 }
 
-/// Whether a later list than the one that an upstream was last seen live in has it live again, or no more.
+/// Returns whether a later list than the one that last had the upstream live has it live again, or lacks it.
 fn is_superseded(list: &hosts::List, leaving: &Leaving) -> bool {
     if list.version <= leaving.list {
         return false;
--- a/crates/tinbank-membership/src/table.rs
+++ b/crates/tinbank-membership/src/table.rs
@@ -1,4 +1,4 @@
-//! What is known of each process.
+//! The table of all other processes.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,24 +14,24 @@
     record::Writer,
 };
 
-use crate::claim::Claim;
+use crate::member_record::MemberRecord;
 
-/// How long a dead process is remembered that the platform doesn't list: longer than a split of regions, so that its
-/// end is noticed.
-const REMEMBER_DEAD: Duration = Duration::from_secs(900);
+/// How long an unlisted dead process is kept and probed: longer than a partition between regions, so that its end is
+/// noticed.
+const DEAD_RETENTION: Duration = Duration::from_secs(900);
 
-/// One process.
+/// The entry of one process.
 #[derive(Clone, Debug)]
 pub(crate) struct Row {
-    pub(crate) claim: Claim,
+    pub(crate) record: MemberRecord,
     pub(crate) config: id::Offset,
-    /// What the platform's list says of it.
+    /// State in the platform's host list.
     pub(crate) listed: Option<hosts::State>,
-    /// When the claim last changed.
+    /// When the record last changed.
     changed: Instant,
 }
 
-/// All processes but ourselves.
+/// All processes except the local one.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Table {
     rows: BTreeMap<id::Process, Row>,
@@ -51,26 +51,26 @@
         self.rows.iter().map(|(&process, row)| (process, row))
     }
 
-    /// Processes held for dead.
+    /// Returns the processes considered dead.
     pub(crate) fn dead(&self) -> &BTreeSet<id::Process> {
         &self.dead
     }
 
-    /// Takes in a claim if it holds against what is known, and tells whether it did. The death of a process that we
-    /// don't know is no news: else those who have forgotten it would be reminded for ever.
-    pub(crate) fn learn(&mut self, process: id::Process, claim: Claim, now: Instant) -> bool {
+    /// Applies a record if it supersedes the known one, and returns whether it did. The death of an unknown process is
+    /// ignored, so that a dead process that was removed is not gossiped back.
+    pub(crate) fn apply(&mut self, process: id::Process, record: MemberRecord, now: Instant) -> bool {
         let known = self.rows.get_mut(&process);
-        let health = claim.health;
+        let health = record.health;
         match known {
-            Some(row) if !claim.beats(&row.claim) => return false,
+            Some(row) if !record.supersedes(&row.record) => return false,
             Some(row) => {
-                row.claim = claim;
+                row.record = record;
                 row.changed = now;
             }
             None if health == Health::Dead => return false,
             None => {
                 let row = Row {
-                    claim,
+                    record,
                     config: 0,
                     listed: None,
                     changed: now,
@@ -86,7 +86,7 @@
         true
     }
 
-    /// Notes a process's configuration and tells whether that is new.
+    /// Records a process's configuration offset and returns whether it has advanced.
     pub(crate) fn set_config(&mut self, process: id::Process, config: id::Offset) -> bool {
         let Some(row) = self.rows.get_mut(&process) else {
             return false;
@@ -96,81 +96,80 @@
         grew
     }
 
-    /// Merges the platform's list. A process that we know nothing of is taken to be as listed until we hear more;
-    /// of one that we know, only "leaving" counts, since the list lags.
-    pub(crate) fn merge(&mut self, members: &[hosts::Member], own: id::Process, now: Instant) {
+    /// Merges the platform's host list. An unknown process is assumed to be as listed until its first heartbeat; for a known
+    /// one only the listed state "leaving" counts, since the list lags.
+    pub(crate) fn merge_host_list(&mut self, members: &[hosts::Member], own: id::Process, now: Instant) {
         for row in self.rows.values_mut() {
             row.listed = None;
         }
         for member in members.iter().filter(|member| member.process != own) {
             let row = self.rows.entry(member.process).or_insert_with(|| Row {
-                claim: listed(member),
+                record: listed(member),
                 config: 0,
                 listed: None,
                 changed: now,
             });
             row.listed = Some(member.state);
-            // The platform knows the addresses of a replaced process before the process speaks.
-            if row.claim.incarnation == 0 {
-                row.claim.peer = member.peer;
-                row.claim.http = member.http;
+            // The list has the address of a replaced process before its first heartbeat.
+            if row.record.incarnation == 0 {
+                row.record.peer = member.peer;
+                row.record.http = member.http;
             }
         }
         self.rows
-            .retain(|_, row| row.listed.is_some() || row.claim.incarnation > 0);
+            .retain(|_, row| row.listed.is_some() || row.record.incarnation > 0);
         self.dead.retain(|process| self.rows.contains_key(process));
     }
 
-    /// Forgets who has been dead for long and is not listed.
-    pub(crate) fn forget(&mut self, now: Instant) {
+    /// Removes unlisted processes that have been dead for [`DEAD_RETENTION`].
+    pub(crate) fn remove_expired(&mut self, now: Instant) {
         self.rows.retain(|_, row| {
-            let gone = row.claim.health == Health::Dead && row.listed.is_none();
-            !gone || now < row.changed + REMEMBER_DEAD
+            let gone = row.record.health == Health::Dead && row.listed.is_none();
+            !gone || now < row.changed + DEAD_RETENTION
         });
         self.dead.retain(|process| self.rows.contains_key(process));
     }
 
-    /// The address of a process.
     pub(crate) fn address(&self, process: id::Process) -> Option<SocketAddr> {
-        self.rows.get(&process).map(|row| row.claim.peer)
+        self.rows.get(&process).map(|row| row.record.peer)
     }
 }
 
 impl Row {
-    /// Whether a claim says no more than the platform's list, which is all that is known so far.
-    pub(crate) fn is_as_listed(&self, claim: &Claim) -> bool {
-        self.claim.incarnation == 0
-            && self.claim.health == claim.health
-            && self.claim.phase == claim.phase
+    /// Returns whether the process is known only from the host list, and the record matches that.
+    pub(crate) fn is_as_listed(&self, record: &MemberRecord) -> bool {
+        self.record.incarnation == 0
+            && self.record.health == record.health
+            && self.record.phase == record.phase
     }
 
-    /// The process as others see it.
+    /// Returns the member, with the host list merged.
     pub(crate) fn member(&self, process: id::Process) -> Member {
-        let claim = &self.claim;
-        let taken_away =
-            self.listed == Some(hosts::State::Leaving) && claim.health < Health::Leaving;
+        let record = &self.record;
+        let leaving_by_list =
+            self.listed == Some(hosts::State::Leaving) && record.health < Health::Leaving;
         Member {
             writer: Writer {
                 process,
-                incarnation: claim.incarnation,
+                incarnation: record.incarnation,
             },
-            health: if taken_away {
+            health: if leaving_by_list {
                 Health::Leaving
             } else {
-                claim.health
+                record.health
             },
-            phase: claim.phase,
-            peer: claim.peer,
-            http: claim.http,
-            failure_domain: claim.failure_domain.clone(),
+            phase: record.phase,
+            peer: record.peer,
+            http: record.http,
+            failure_domain: record.failure_domain.clone(),
             config: self.config,
         }
     }
 }
 
-/// What the list alone tells of a process.
-fn listed(member: &hosts::Member) -> Claim {
-    Claim {
+/// Returns the assumed record of a process that is known only from the host list.
+fn listed(member: &hosts::Member) -> MemberRecord {
+    MemberRecord {
         incarnation: 0,
         refutation: 0,
         health: Health::Alive,
--- a/crates/tinbank-membership/tests/cost.rs
+++ b/crates/tinbank-membership/tests/cost.rs
@@ -1,4 +1,4 @@
-//! What heartbeats cost: the figures of `docs/design/membership.md`. Run with `--nocapture` to see them.
+//! Network cost of heartbeats. Run with `--nocapture` to see the figures for `docs/design/membership.md`.
 
 mod network;
 
@@ -7,14 +7,14 @@
 use network::Network;
 use tinbank_base::frame::datagram::MAX_BYTES;
 
-/// Bytes a second that the three processes of a host may send when nothing happens.
+/// Maximum bytes per second that the three processes of an idle host may send.
 const IDLE_BYTES_PER_HOST: u64 = 830;
 
 #[yare::parameterized(
     today = { 12 },
     target = { 370 },
 )]
-fn a_host_sends_the_same_however_many_there_are(hosts: u32) {
+fn the_bytes_sent_by_a_host_do_not_grow_with_the_number_of_hosts(hosts: u32) {
     const SECONDS: u64 = 20;
     let mut network = Network::listed(hosts, 51);
     network.run(Duration::from_secs(20));
--- a/crates/tinbank-membership/tests/edge.rs
+++ b/crates/tinbank-membership/tests/driver.rs
@@ -1,4 +1,4 @@
-//! The edge on real sockets.
+//! Membership over real sockets.
 
 use std::{sync::Arc, time::SystemTime};
 
@@ -60,7 +60,7 @@
 }
 
 #[tokio::test]
-async fn processes_meet_and_learn_who_and_what_leaves() {
+async fn processes_join_and_learn_of_leaving_upstreams_and_processes() {
     let (a_endpoint, a, recorder) = start(1, &[]).await;
     let (_b_endpoint, b, _) = start(2, &[&a_endpoint]).await;
     let (_c_endpoint, c, _) = start(3, &[&a_endpoint]).await;
@@ -68,15 +68,15 @@
         until(membership, three_ready).await;
     }
     let joined = recorder.since(SystemTime::UNIX_EPOCH).events.len();
-    assert!(joined >= 2, "the time line has who joined");
+    assert!(joined >= 2, "the timeline has the processes that joined");
 
     let leaving = Leaving {
         upstream: 4,
         list: 1,
     };
     b.upstream_leaving(leaving);
-    let mut heard = c.leaving();
-    heard.wait_for(|known| **known == [leaving]).await.unwrap();
+    let mut received = c.leaving();
+    received.wait_for(|known| **known == [leaving]).await.unwrap();
     b.leave().await;
 
     let left = |members: &Members| {
@@ -88,7 +88,7 @@
 }
 
 #[tokio::test]
-async fn a_peer_that_is_ahead_is_named() {
+async fn a_peer_with_a_newer_configuration_is_published_as_ahead() {
     let (a_endpoint, a, _) = start(1, &[]).await;
     let (b_endpoint, b, _) = start(2, &[&a_endpoint]).await;
 
--- a/crates/tinbank-membership/tests/failures.rs
+++ b/crates/tinbank-membership/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Failures of processes, domains and the network between them.
+//! Failures of processes, failure domains and the network.
 
 mod network;
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn processes_find_each_other_through_one_seed() {
+fn processes_discover_each_other_through_one_seed() {
     let network = Network::joined(HOSTS, 1);
 
     let view = network.view(online(3));
@@ -30,14 +30,14 @@
 }
 
 #[test]
-fn a_lost_process_is_found_dead_and_nobody_else() {
+fn only_a_killed_process_is_declared_dead() {
     let mut network = Network::joined(HOSTS, 2);
 
     network.kill(online(5));
     let took = network.until(Duration::from_secs(15), Network::agree);
     network.run(Duration::from_secs(30));
 
-    assert!(took > Duration::from_secs(2), "suspected before it died");
+    assert!(took > Duration::from_secs(2), "suspected before it was declared dead");
     assert!(network.agree());
     assert!(network.died.iter().all(|(_, dead)| *dead == online(5)));
 }
@@ -47,7 +47,7 @@
     b = { 1, 4 },
     c = { 2, 5 },
 )]
-fn a_lost_failure_domain_is_found_dead_by_all_others(lost: usize, seed: u64) {
+fn a_killed_failure_domain_is_declared_dead_by_all_others(lost: usize, seed: u64) {
     let mut network = Network::joined(HOSTS, seed);
 
     for process in processes(HOSTS) {
@@ -68,12 +68,12 @@
     a_minute = { 60, 12 },
     ten_minutes = { 600, 13 },
 )]
-fn a_split_between_failure_domains_heals(seconds: u64, seed: u64) {
+fn a_partition_between_failure_domains_heals(seconds: u64, seed: u64) {
     let mut network = Network::joined(HOSTS, seed);
 
-    network.cut_off = Some(1);
+    network.isolated = Some(1);
     network.run(Duration::from_secs(seconds));
-    network.cut_off = None;
+    network.isolated = None;
 
     network.until(Duration::from_secs(30), Network::agree);
 }
@@ -83,7 +83,7 @@
     two = { 22 },
     three = { 23 },
 )]
-fn a_tenth_of_the_frames_lost_kills_nobody(seed: u64) {
+fn ten_percent_frame_loss_declares_no_process_dead(seed: u64) {
     let mut network = Network::joined(HOSTS, seed);
 
     network.loss = 10;
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_lost_process_is_found_dead_while_a_tenth_of_the_frames_is_lost() {
+fn a_killed_process_is_declared_dead_despite_ten_percent_frame_loss() {
     let mut network = Network::joined(HOSTS, 24);
     network.loss = 10;
 
@@ -108,20 +108,20 @@
 }
 
 #[test]
-fn a_paused_process_comes_back_and_kills_nobody() {
+fn a_resumed_process_rejoins_and_declares_no_process_dead() {
     let mut network = Network::joined(HOSTS, 31);
 
     network.pause(online(2));
     network.run(Duration::from_secs(30));
     assert!(!network.alive(online(1)).contains(&online(2)));
-    network.wake(online(2));
+    network.resume(online(2));
     network.until(Duration::from_secs(20), Network::agree);
 
     assert!(network.died.iter().all(|(by, _)| *by != online(2)));
 }
 
 #[test]
-fn a_restarted_process_is_alive_under_its_new_start() {
+fn a_restarted_process_is_alive_with_its_new_incarnation() {
     let mut network = Network::joined(HOSTS, 32);
     let before = network.view(online(1)).get(online(2)).unwrap().writer;
 
@@ -141,7 +141,7 @@
     today_with_loss = { 12, 10 },
     target = { 370, 0 },
 )]
-fn a_leaving_upstream_and_a_leaving_process_are_known_everywhere_in_two_seconds(
+fn leaving_upstreams_and_processes_are_known_everywhere_within_two_seconds(
     hosts: u32,
     loss: u32,
 ) {
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_leaving_process_that_still_works_is_not_held_for_dead() {
+fn a_leaving_process_is_not_declared_dead_until_it_stops() {
     let mut network = Network::joined(HOSTS, 42);
     network.loss = 10;
 
--- a/crates/tinbank-membership/tests/naive.rs
+++ b/crates/tinbank-membership/tests/naive.rs
@@ -1,4 +1,4 @@
-//! Membership against a naive version with global knowledge, and the merge with the platform's host list.
+//! Membership against a model with global knowledge, and the merge with the platform's host list.
 
 mod network;
 
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_listed_process_counts_until_it_is_found_dead() {
+fn a_listed_process_is_alive_until_it_is_declared_dead() {
     let mut network = Network::new(1);
     network.start(online(1));
     network.event(online(1), list(1, vec![listed(online(2))]));
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_process_that_is_heard_of_counts_though_it_is_not_listed() {
+fn an_unlisted_process_with_heartbeats_is_alive() {
     let mut network = Network::joined(HOSTS, 2);
 
     network.event(online(1), list(1, vec![listed(online(2))]));
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_process_that_the_platform_takes_away_gets_no_new_work() {
+fn a_process_listed_as_leaving_is_not_ready() {
     let mut network = Network::joined(HOSTS, 3);
     let leaving = hosts::Member {
         state: hosts::State::Leaving,
@@ -92,27 +92,27 @@
 }
 
 #[test]
-fn a_leaving_upstream_stays_so_until_a_later_list_has_it_live() {
+fn an_upstream_is_leaving_until_a_later_list_has_it_live() {
     let mut network = Network::joined(HOSTS, 4);
-    let news = Leaving {
+    let update = Leaving {
         upstream: 7,
         list: 5,
     };
-    network.event(online(1), Event::UpstreamLeaving(news));
+    network.event(online(1), Event::UpstreamLeaving(update));
     let leaving = |network: &Network| network.state(online(1)).leaving();
 
     network.event(online(1), upstreams(5, hosts::State::Live));
-    assert_eq!(leaving(&network), [news], "the list it was seen live in");
+    assert_eq!(leaving(&network), [update], "the list that last had it live");
     network.event(online(1), upstreams(6, hosts::State::Leaving));
-    assert_eq!(leaving(&network), [news], "a later list that says the same");
+    assert_eq!(leaving(&network), [update], "a later list that says the same");
     network.event(online(1), upstreams(7, hosts::State::Live));
     assert_eq!(leaving(&network), [], "a later list that has it live");
-    network.event(online(1), Event::UpstreamLeaving(news));
-    assert_eq!(leaving(&network), [], "old news");
+    network.event(online(1), Event::UpstreamLeaving(update));
+    assert_eq!(leaving(&network), [], "an update older than the list");
 }
 
 #[test]
-fn an_upstream_that_the_list_drops_to_leaving_is_passed_on() {
+fn an_upstream_that_becomes_leaving_in_the_list_is_gossiped() {
     let mut network = Network::joined(HOSTS, 5);
 
     network.event(online(1), upstreams(1, hosts::State::Live));
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_peer_whose_configuration_is_ahead_is_named_until_we_have_caught_up() {
+fn a_peer_is_published_as_ahead_until_the_configuration_has_caught_up() {
     let mut network = Network::joined(HOSTS, 6);
     let now = network.now;
     let mut state = network.state(online(1)).clone();
@@ -162,7 +162,7 @@
 enum Step {
     Kill(u32),
     Restart(u32),
-    Cut(usize),
+    Isolate(usize),
     Join,
     Lose(u32),
     Wait(u64),
@@ -172,7 +172,7 @@
     prop_oneof![
         (1..=HOSTS).prop_map(Step::Kill),
         (1..=HOSTS).prop_map(Step::Restart),
-        (0_usize..3).prop_map(Step::Cut),
+        (0_usize..3).prop_map(Step::Isolate),
         Just(Step::Join),
         (0_u32..30).prop_map(Step::Lose),
         (1_u64..20).prop_map(Step::Wait),
@@ -191,9 +191,9 @@
 proptest! {
     #![proptest_config(fixed(24))]
 
-    /// The naive version knows who is up; after a quiet time every process must agree with it.
+    /// The model knows which processes are up. Once failures stop, every process must agree with it.
     #[test]
-    fn after_any_failures_all_agree_with_global_knowledge(
+    fn all_processes_agree_with_the_model_after_random_failures(
         steps in proptest::collection::vec(step(), 1..20),
         seed in any::<u64>(),
     ) {
@@ -206,13 +206,13 @@
                     .filter(|process| process.host == host)
                     .for_each(|process| network.kill(process)),
                 Step::Restart(host) => network.start(online(host)),
-                Step::Cut(domain) => network.cut_off = Some(domain),
-                Step::Join => network.cut_off = None,
+                Step::Isolate(domain) => network.isolated = Some(domain),
+                Step::Join => network.isolated = None,
                 Step::Lose(loss) => network.loss = loss,
                 Step::Wait(seconds) => network.run(Duration::from_secs(seconds)),
             }
         }
-        network.cut_off = None;
+        network.isolated = None;
         network.loss = 0;
         network.run(Duration::from_secs(60));
 
@@ -233,7 +233,7 @@
     #![proptest_config(fixed(64))]
 
     #[test]
-    fn the_loss_of_a_member_moves_only_what_it_was_first_for(
+    fn the_loss_of_a_member_keeps_the_order_of_the_others(
         hosts in proptest::collection::btree_set(1_u32..500, 2..30),
         shard in any::<u16>(),
         lost in any::<prop::sample::Index>(),
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn ranks_share_keys_out_evenly() {
+fn keys_are_distributed_evenly() {
     let members: Vec<_> = (1..=10).map(member).collect();
     let mut counts = [0_u32; 10];
 
--- a/crates/tinbank-membership/tests/network/mod.rs
+++ b/crates/tinbank-membership/tests/network/mod.rs
@@ -1,9 +1,10 @@
-//! A fake network under virtual time: it carries heartbeats between state machines, loses some, and can be split.
+//! A simulated network in virtual time, which delivers heartbeats between state machines, loses some, and can be
+//! partitioned.
 
-#![allow(dead_code, reason = "not every test file uses all of it")]
+#![allow(dead_code, reason = "not every test file uses every item")]
 
-mod flight;
-mod place;
+mod delivery;
+mod placement;
 
 use std::{
     collections::{BTreeMap, BTreeSet, BinaryHeap},
@@ -28,8 +29,8 @@
 };
 use tinbank_membership::state::{Action, Event, Own, State, TICK};
 
-use self::flight::Flight;
-pub use self::place::{DOMAINS, address, domain, listed, processes};
+use self::delivery::Delivery;
+pub use self::placement::{DOMAINS, address, domain, listed, processes};
 
 const LATENCY: Duration = Duration::from_millis(1);
 
@@ -45,10 +46,11 @@
     pub now: Instant,
     pub start: Instant,
     pub seeds: Vec<SocketAddr>,
-    /// Frames lost, in per cent.
+    /// Frame loss in per cent.
     pub loss: u32,
-    /// A failure domain cut off from the others.
-    pub cut_off: Option<usize>,
+    /// Failure domain that is partitioned from the others.
+    pub isolated: Option<usize>,
+    /// Deaths as (observer, dead process).
     pub died: Vec<(Process, Process)>,
     pub sent_bytes: u64,
     pub sent_frames: u64,
@@ -56,7 +58,7 @@
     members: BTreeMap<Process, Member>,
     by_address: BTreeMap<SocketAddr, Process>,
     ticks: BTreeSet<(Instant, Process)>,
-    flights: BinaryHeap<Flight>,
+    deliveries: BinaryHeap<Delivery>,
     number: u64,
     random: SmallRng,
 }
@@ -69,7 +71,7 @@
             start: now,
             seeds: Vec::new(),
             loss: 0,
-            cut_off: None,
+            isolated: None,
             died: Vec::new(),
             sent_bytes: 0,
             sent_frames: 0,
@@ -77,13 +79,13 @@
             members: BTreeMap::new(),
             by_address: BTreeMap::new(),
             ticks: BTreeSet::new(),
-            flights: BinaryHeap::new(),
+            deliveries: BinaryHeap::new(),
             number: 0,
             random: SmallRng::seed_from_u64(seed),
         }
     }
 
-    /// A network of ready processes that know each other.
+    /// Creates a network of ready processes that have joined through a seed.
     pub fn joined(hosts: u32, seed: u64) -> Self {
         let mut network = Self::new(seed);
         network.seeds = vec![address(processes(1)[0])];
@@ -92,7 +94,7 @@
         }
         let limit = network.now + Duration::from_secs(180);
         while !network.agree() {
-            assert!(network.now < limit, "the processes do not find each other");
+            assert!(network.now < limit, "the processes did not discover each other");
             network.run(Duration::from_secs(1));
         }
         network.sent_bytes = 0;
@@ -100,7 +102,7 @@
         network
     }
 
-    /// A network of ready processes that know each other from the platform's host list alone.
+    /// Creates a network of ready processes that know each other only from the platform's host list.
     pub fn listed(hosts: u32, seed: u64) -> Self {
         let mut network = Self::new(seed);
         let members = processes(hosts).into_iter().map(listed).collect();
@@ -116,7 +118,7 @@
         network
     }
 
-    /// Starts a process, or starts it again.
+    /// Starts or restarts a process.
     pub fn start(&mut self, process: Process) {
         let incarnation = self
             .members
@@ -150,7 +152,7 @@
         self.event(process, Event::Phase(Phase::Ready));
     }
 
-    /// Stops a process without a word. Its number of starts is kept.
+    /// Stops a process abruptly. Its incarnation is kept for the next start.
     pub fn kill(&mut self, process: Process) {
         self.by_address.remove(&address(process));
         if let Some(member) = self.members.get(&process) {
@@ -166,7 +168,7 @@
         self.member(process).paused = true;
     }
 
-    pub fn wake(&mut self, process: Process) {
+    pub fn resume(&mut self, process: Process) {
         self.member(process).paused = false;
     }
 
@@ -206,16 +208,16 @@
         let end = self.now + time;
         loop {
             let tick = self.ticks.first().map(|(at, _)| *at);
-            let flight = self.flights.peek().map(|flight| flight.at);
-            let Some(next) = tick.into_iter().chain(flight).min() else {
+            let delivery = self.deliveries.peek().map(|delivery| delivery.at);
+            let Some(next) = tick.into_iter().chain(delivery).min() else {
                 break;
             };
             if next > end {
                 break;
             }
             self.now = next;
-            if flight == Some(next) {
-                self.land();
+            if delivery == Some(next) {
+                self.deliver();
             } else {
                 self.tick();
             }
@@ -223,13 +225,13 @@
         self.now = end;
     }
 
-    /// Whether every process sees all that are up as alive, and no other one.
+    /// Returns whether every process considers exactly those alive that are up.
     pub fn agree(&self) -> bool {
         let up = self.up();
         up.iter().all(|&process| self.alive(process) == up)
     }
 
-    /// Whom a process holds for alive.
+    /// Returns the processes that a process considers alive.
     pub fn alive(&self, process: Process) -> Vec<Process> {
         let view = self.view(process);
         view.members
@@ -239,7 +241,7 @@
             .collect()
     }
 
-    /// Runs until a condition holds, and tells how long that took.
+    /// Runs until a condition holds and returns how long that took; panics after `limit`.
     pub fn until(&mut self, limit: Duration, done: impl Fn(&Self) -> bool) -> Duration {
         let start = self.now;
         while !done(self) {
@@ -265,23 +267,23 @@
         }
     }
 
-    fn land(&mut self) {
-        let flight = self.flights.pop().unwrap();
-        let Some(&to) = self.by_address.get(&flight.to) else {
+    fn deliver(&mut self) {
+        let delivery = self.deliveries.pop().unwrap();
+        let Some(&to) = self.by_address.get(&delivery.to) else {
             return;
         };
-        if self.member(to).paused || self.is_cut(flight.from.process, to) {
+        if self.member(to).paused || self.is_isolated(delivery.from.process, to) {
             return;
         }
         let event = Event::Heard {
-            from: flight.from,
-            heartbeat: Box::new(flight.heartbeat),
+            from: delivery.from,
+            heartbeat: Box::new(delivery.heartbeat),
         };
         self.event(to, event);
     }
 
-    fn is_cut(&self, from: Process, to: Process) -> bool {
-        self.cut_off
+    fn is_isolated(&self, from: Process, to: Process) -> bool {
+        self.isolated
             .is_some_and(|cut| (domain(from) == cut) != (domain(to) == cut))
     }
 
@@ -294,7 +296,7 @@
             return;
         }
         self.number += 1;
-        self.flights.push(Flight {
+        self.deliveries.push(Delivery {
             at: self.now + LATENCY,
             number: self.number,
             from,
@@ -303,7 +305,7 @@
         });
     }
 
-    /// Counts the bytes of the real frame, with a start number and a stamp of real size.
+    /// Counts the bytes of the encoded frame, with an incarnation and a stamp of realistic size.
     fn count(&mut self, from: Writer, sequence: u64, heartbeat: &Heartbeat) {
         const MICROS: u64 = 1_790_000_000_000_000;
         let datagram = Datagram {
@@ -323,7 +325,7 @@
             secret: [1; 32],
         };
         let mut size = seal(&datagram, &key).len();
-        // Starts in the fake network are small numbers; real ones take 8 bytes.
+        // Simulated incarnations are encoded in 1 byte, real ones in 8.
         size += 7 * heartbeat.news.len();
         self.sent_frames += 1;
         self.sent_bytes += size as u64;
--- a/crates/tinbank-membership/tests/network/place.rs
+++ b/crates/tinbank-membership/tests/network/placement.rs
@@ -1,4 +1,4 @@
-//! Where the processes of the fake network stand.
+//! Addresses and failure domains of the simulated processes.
 
 use std::net::SocketAddr;
 
