--- a/crates/tinbank-load/src/slopes/membership.rs
+++ b/crates/tinbank-load/src/slopes/membership.rs
@@ -21,7 +21,7 @@
     platform::hosts,
     record::Writer,
 };
-use tinbank_membership::state::{Action, Event, Own, State, TICK};
+use tinbank_membership::state::{Action, Event, LocalProcess, State, TICK};
 
 use super::{Allocated, Point, Series, point, weight};
 
@@ -177,7 +177,7 @@
                 process,
                 incarnation: START_MICROS + place as u64,
             };
-            let own = Own {
+            let own = LocalProcess {
                 writer,
                 peer: address(process),
                 http: address(process),
@@ -238,7 +238,7 @@
         let datagram = datagram.expect("it was signed with this key");
         if let Body::Heartbeat(heartbeat) = datagram.body {
             let from = datagram.sender;
-            self.happen(node, Event::Heard { from, heartbeat });
+            self.happen(node, Event::Heartbeat { from, heartbeat });
         }
     }
 
--- a/crates/tinbank-membership/src/driver.rs
+++ b/crates/tinbank-membership/src/driver.rs
@@ -16,7 +16,7 @@
     time::{MissedTickBehavior, interval},
 };
 
-use crate::state::{Action, Ahead, Event, Own, State, TICK};
+use crate::state::{Action, Ahead, Event, LocalProcess, State, TICK};
 
 /// Settings of the local process. Its identity and peer address are the endpoint's.
 #[derive(Clone, Debug)]
@@ -51,7 +51,7 @@
     ///
     /// An endpoint delivers its heartbeats to one membership only; a second one receives none.
     pub fn start(endpoint: &Endpoint, settings: Settings) -> Self {
-        let own = Own {
+        let own = LocalProcess {
             writer: endpoint.writer(),
             peer: endpoint.address(),
             http: settings.http,
@@ -165,7 +165,7 @@
             let event = tokio::select! {
                 _ = ticks.tick() => Event::Tick,
                 heartbeats = heartbeats.recv() => match heartbeats {
-                    Some(Heard { from, heartbeat }) => Event::Heard { from, heartbeat: Box::new(heartbeat) },
+                    Some(Heard { from, heartbeat }) => Event::Heartbeat { from, heartbeat: Box::new(heartbeat) },
                     None => return,
                 },
                 command = commands.recv() => match command {
--- a/crates/tinbank-membership/src/state/event.rs
+++ b/crates/tinbank-membership/src/state/event.rs
@@ -12,7 +12,7 @@
 
 /// The local process.
 #[derive(Clone, Debug)]
-pub struct Own {
+pub struct LocalProcess {
     pub writer: Writer,
     /// Address for frames from peers.
     pub peer: SocketAddr,
@@ -27,7 +27,7 @@
     /// [`TICK`](super::TICK) has passed.
     Tick,
     /// A heartbeat was received.
-    Heard {
+    Heartbeat {
         /// The sender.
         from: Writer,
         /// The received heartbeat.
--- a/crates/tinbank-membership/src/state/mod.rs
+++ b/crates/tinbank-membership/src/state/mod.rs
@@ -25,7 +25,7 @@
     platform::hosts,
 };
 
-pub use self::event::{Action, Ahead, Event, Own};
+pub use self::event::{Action, Ahead, Event, LocalProcess};
 use crate::{gossip::Queue, probe::Probes, table::Table};
 
 /// Interval between ticks, each of which sends one probe.
@@ -36,7 +36,7 @@
 /// The membership state of one process.
 #[derive(Clone, Debug)]
 pub struct State {
-    own: Own,
+    own: LocalProcess,
     refutation: u32,
     phase: Phase,
     config: id::Offset,
@@ -59,7 +59,7 @@
 
 impl State {
     /// Creates a state that knows only the local process and the seeds. `seed` determines all random choices.
-    pub fn new(own: Own, seeds: Vec<SocketAddr>, seed: u64, now: Instant) -> Self {
+    pub fn new(own: LocalProcess, seeds: Vec<SocketAddr>, seed: u64, now: Instant) -> Self {
         let seeds = seeds
             .into_iter()
             .filter(|&address| address != own.peer)
@@ -91,7 +91,7 @@
         let mut actions = Vec::new();
         match event {
             Event::Tick => self.tick(now, &mut actions),
-            Event::Heard { from, heartbeat } => self.on_heartbeat(from, *heartbeat, now, &mut actions),
+            Event::Heartbeat { from, heartbeat } => self.on_heartbeat(from, *heartbeat, now, &mut actions),
             Event::Phase(phase) => self.set_phase(phase, &mut actions),
             Event::Config(config) => self.set_config(config, &mut actions),
             Event::Load(load) => self.load = load,
--- a/crates/tinbank-membership/tests/naive.rs
+++ b/crates/tinbank-membership/tests/naive.rs
@@ -140,7 +140,7 @@
         _ => None,
     });
     let from = network.view(online(2)).get(online(2)).unwrap().writer;
-    let event = Event::Heard {
+    let event = Event::Heartbeat {
         from,
         heartbeat: sent.unwrap(),
     };
--- a/crates/tinbank-membership/tests/network/mod.rs
+++ b/crates/tinbank-membership/tests/network/mod.rs
@@ -27,7 +27,7 @@
     platform::hosts,
     record::Writer,
 };
-use tinbank_membership::state::{Action, Event, Own, State, TICK};
+use tinbank_membership::state::{Action, Event, LocalProcess, State, TICK};
 
 use self::delivery::Delivery;
 pub use self::placement::{DOMAINS, address, domain, listed, processes};
@@ -126,7 +126,7 @@
             .map_or(1, |member| member.incarnation)
             + 1;
         self.kill(process);
-        let own = Own {
+        let own = LocalProcess {
             writer: Writer {
                 process,
                 incarnation,
@@ -275,7 +275,7 @@
         if self.member(to).paused || self.is_isolated(delivery.from.process, to) {
             return;
         }
-        let event = Event::Heard {
+        let event = Event::Heartbeat {
             from: delivery.from,
             heartbeat: Box::new(delivery.heartbeat),
         };
