--- a/crates/tinbank-membership/src/driver.rs
+++ b/crates/tinbank-membership/src/driver.rs
@@ -28,8 +28,8 @@
     pub seeds: Vec<SocketAddr>,
 }
 
-/// A handle to the membership of the local process. Clones share one state, which runs until the last clone is dropped or
-/// the endpoint closes.
+/// A handle to the membership of the local process. Clones share one state, which runs until the last clone is dropped
+/// or the endpoint closes.
 #[derive(Clone, Debug)]
 pub struct Membership {
     view: Arc<ArcSwap<Members>>,
@@ -107,8 +107,8 @@
         self.event(Event::UpstreamLeaving(leaving));
     }
 
-    /// Notifies peers that this process leaves, and returns once the updates are sent. Heartbeats continue until the endpoint
-    /// closes, so that a process that finishes its streams is not considered dead.
+    /// Notifies peers that this process leaves, and returns once the updates are sent. Heartbeats continue until the
+    /// endpoint closes, so that a process that finishes its streams is not considered dead.
     pub async fn leave(&self) {
         self.set_phase(Phase::Leaving);
         let (done, flushed) = oneshot::channel();
--- a/crates/tinbank-membership/src/state/mod.rs
+++ b/crates/tinbank-membership/src/state/mod.rs
@@ -1,8 +1,8 @@
-//! The state machine of membership: it handles events and returns actions. It is deterministic for a given seed and does
-//! no I/O.
+//! The state machine of membership: it handles events and returns actions. It is deterministic for a given seed and
+//! does no I/O.
 //!
-//! [`probe`] detects failures, [`receive`] applies heartbeats, [`upstream`] tracks leaving upstreams, and [`send`] creates
-//! heartbeats. See `docs/design/membership.md`.
+//! [`probe`] detects failures, [`receive`] applies heartbeats, [`upstream`] tracks leaving upstreams, and [`send`]
+//! creates heartbeats. See `docs/design/membership.md`.
 
 mod event;
 mod receive;
--- a/crates/tinbank-membership/src/table.rs
+++ b/crates/tinbank-membership/src/table.rs
@@ -96,8 +96,8 @@
         grew
     }
 
-    /// Merges the platform's host list. An unknown process is assumed to be as listed until its first heartbeat; for a known
-    /// one only the listed state "leaving" counts, since the list lags.
+    /// Merges the platform's host list. An unknown process is assumed to be as listed until its first heartbeat; for a
+    /// known one only the listed state "leaving" counts, since the list lags.
     pub(crate) fn merge_host_list(&mut self, members: &[hosts::Member], own: id::Process, now: Instant) {
         for row in self.rows.values_mut() {
             row.listed = None;
--- a/crates/tinbank-online/src/openai.rs
+++ b/crates/tinbank-online/src/openai.rs
@@ -14,8 +14,8 @@
     pub model: String,
     /// Always exactly one choice.
     pub choices: Vec<ChunkChoice>,
-    /// Index of the token in the completion, from 0; in the last chunk, the number of tokens. An extension of the OpenAI
-    /// format, by which a client detects missing and duplicate tokens.
+    /// Index of the token in the completion, from 0; in the last chunk, the number of tokens. An extension of the
+    /// OpenAI format, by which a client detects missing and duplicate tokens.
     pub token_index: u32,
 }
 
--- a/crates/tinbank-online/src/relay.rs
+++ b/crates/tinbank-online/src/relay.rs
@@ -17,8 +17,8 @@
     /// Returns the part if it is the next one of the answer.
     ///
     /// # Errors
-    /// A token is out of order, or the end marker's count differs from the tokens relayed: the answer belongs to another
-    /// request or is incomplete, and the part must not reach the caller.
+    /// A token is out of order, or the end marker's count differs from the tokens relayed: the answer belongs to
+    /// another request or is incomplete, and the part must not reach the caller.
     pub fn accept(&mut self, part: Part) -> Result<Part, Kind> {
         match &part {
             Part::Token { index, .. } if *index != self.next => Err(Kind::Crossed(format!(
--- a/crates/tinbank-online/src/request/mod.rs
+++ b/crates/tinbank-online/src/request/mod.rs
@@ -42,7 +42,8 @@
 }
 
 impl Request {
-    /// Returns the idempotency key if the request has to be claimed. Repeatable requests need no claim: they may run again.
+    /// Returns the idempotency key if the request has to be claimed. Repeatable requests need no claim: they may run
+    /// again.
     pub(crate) fn claim_key(&self) -> Option<String> {
         self.key.clone().filter(|_| !self.repeatable)
     }
--- a/crates/tinbank-online/src/run/chat.rs
+++ b/crates/tinbank-online/src/run/chat.rs
@@ -199,7 +199,8 @@
     relay.accept(part).map_err(error)
 }
 
-/// Returns the error for a part that did not arrive in time: the caller's deadline has passed, or the engine has stalled.
+/// Returns the error for a part that did not arrive in time: the caller's deadline has passed, or the engine has
+/// stalled.
 fn timeout_error(upstream: id::Upstream, until: Instant, deadline: Instant) -> upstream::Error {
     let kind = if until < deadline {
         Kind::Cut("it stands still".to_owned())
--- a/crates/tinbank-online/src/run/claimed.rs
+++ b/crates/tinbank-online/src/run/claimed.rs
@@ -1,5 +1,5 @@
-//! Runs requests that have to be claimed, in their own tasks: they finish even if the caller disconnects, so that a retry
-//! gets the stored answer.
+//! Runs requests that have to be claimed, in their own tasks: they finish even if the caller disconnects, so that a
+//! retry gets the stored answer.
 
 use std::sync::Arc;
 
--- a/crates/tinbank-online/src/run/tests/limits.rs
+++ b/crates/tinbank-online/src/run/tests/limits.rs
@@ -75,7 +75,7 @@
     send_claim_requests(&fixture);
     let sent = fixture.peers.take_sent();
     let [Message::Ask(Ask { round, claims })] = &sent[..] else {
-        panic!("one ask: {sent:?}");
+        panic!("one claim request: {sent:?}");
     };
     let part = Part {
         millis: 80_000,
@@ -155,7 +155,7 @@
     send_claim_requests(&fixture);
     let sent = fixture.peers.take_sent();
     let [Message::Ask(Ask { round, .. })] = &sent[..] else {
-        panic!("one ask: {sent:?}");
+        panic!("one claim request: {sent:?}");
     };
     let part = Part {
         millis: 80_000,
--- a/crates/tinbank-online/src/server.rs
+++ b/crates/tinbank-online/src/server.rs
@@ -102,8 +102,8 @@
         &self.ctx.table
     }
 
-    /// Stops the process without interrupting requests: it becomes unready, notifies its peers, serves for `stop_grace_ms`
-    /// so that the load balancer notices, and finishes every stream.
+    /// Stops the process without interrupting requests: it becomes unready, notifies its peers, serves for
+    /// `stop_grace_ms` so that the load balancer notices, and finishes every stream.
     pub async fn stop(self) {
         self.core.begin_leaving();
         tokio::time::sleep(self.stop_grace).await;
--- a/crates/tinbank-online/src/settings.rs
+++ b/crates/tinbank-online/src/settings.rs
@@ -15,7 +15,8 @@
     pub common: Common,
     /// Number of work shards of the deployment, over which claims are distributed.
     pub shards: u16,
-    /// How long the process keeps serving after a stop was requested, so that the load balancer notices, in milliseconds.
+    /// How long the process keeps serving after a stop was requested, so that the load balancer notices, in
+    /// milliseconds.
     pub stop_grace_ms: u64,
     /// Number of engines polled for their load report each second.
     pub reports_per_second: u32,
