--- a/crates/tinbank-batch/src/owner/asks.rs
+++ b/crates/tinbank-batch/src/owner/asks.rs
@@ -144,7 +144,7 @@
         else {
             return answer(reply, Response::NotOwner(None));
         };
-        let known = followed.fold.ask(&claim);
+        let known = followed.fold.claim_status(&claim);
         let then = Then::Claimed(claim.clone());
         match known {
             // "It still runs" is only true at the tail as it is now: its end may stand behind what was read here.
--- a/crates/tinbank-batch/src/owner/control.rs
+++ b/crates/tinbank-batch/src/owner/control.rs
@@ -14,7 +14,7 @@
     record::{Writer, lease},
 };
 use tinbank_configuration::snapshot;
-use tinbank_ledger::lease::{Step, Terms};
+use tinbank_ledger::lease::{Step, Timings};
 use tinbank_log::writer;
 use tinbank_timeline::Recorder;
 use tokio::{
@@ -47,7 +47,7 @@
     /// How many work shards the deployment has.
     pub shards: id::Shard,
     /// How leases are timed.
-    pub terms: Terms,
+    pub terms: Timings,
     /// How many members in rank follow a shard.
     pub followers: u32,
     /// How long the log keeps records.
--- a/crates/tinbank-batch/src/owner/follow.rs
+++ b/crates/tinbank-batch/src/owner/follow.rs
@@ -140,7 +140,7 @@
             return;
         }
         let now = SystemTime::now();
-        followed.upkeep.marks.note(offset, envelope.stamp, now);
+        followed.upkeep.marks.record(offset, envelope.stamp, now);
         let changes = followed.fold.apply(offset, envelope);
         for change in &changes {
             followed.changed(change, self.parts.me);
--- a/crates/tinbank-batch/src/owner/shard.rs
+++ b/crates/tinbank-batch/src/owner/shard.rs
@@ -12,7 +12,7 @@
     Change,
     checkpoint::Recovery,
     duty::Duties,
-    lease::{self, Contender, Step, Terms, Want},
+    lease::{self, Contender, Step, Timings, Want},
     shard::{Item, Sending, Shard},
 };
 use tokio::{sync::oneshot, task::AbortHandle};
@@ -74,7 +74,7 @@
         shard: id::Shard,
         shards: id::Shard,
         me: Writer,
-        terms: Terms,
+        terms: Timings,
         retention: Duration,
         following: u64,
         reader: AbortHandle,
@@ -103,7 +103,7 @@
 
     /// What to do about the lease now.
     pub(super) fn step(&mut self, stopping: bool, now: Instant) -> Step {
-        self.deaf = self.contender.is_deaf(now);
+        self.deaf = self.contender.is_read_stalled(now);
         // What a deaf holder has appended will not be read back before it has let go.
         let items = match self.deaf {
             true => self.hand.running(),
@@ -166,7 +166,7 @@
         match self.sending(key, false) {
             Sending::Yes => Some(Permit::Send),
             Sending::DispatchFirst => None,
-            Sending::Spent | Sending::Over => Some(Permit::Never),
+            Sending::MaybeSent | Sending::Ended => Some(Permit::Never),
         }
     }
 
@@ -245,7 +245,7 @@
                 let cancelled = self.fold.job(*job).is_some_and(|job| job.cancelled);
                 Response::Cancelled(cancelled)
             }
-            Then::Claimed(claim) => match self.fold.ask(claim) {
+            Then::Claimed(claim) => match self.fold.claim_status(claim) {
                 Some(claimed) => Response::Claimed(claimed),
                 None => failed(Code::LogUnavailable, Ran::No, "the claim was not read back"),
             },
--- a/crates/tinbank-batch/src/owner/upkeep.rs
+++ b/crates/tinbank-batch/src/owner/upkeep.rs
@@ -11,7 +11,7 @@
     platform::log::{Log, Stream},
     record::{Envelope, work},
 };
-use tinbank_ledger::{checkpoint, chunk::Chunk, result, retention::Marks, shard::Carry};
+use tinbank_ledger::{checkpoint, chunk::Chunk, result, retention::OffsetTimes, shard::Carry};
 use tinbank_log::writer::Writer;
 
 use super::{
@@ -35,7 +35,7 @@
 #[derive(Debug)]
 pub(super) struct Upkeep {
     /// When what was appended, as far as we have read it.
-    pub(super) marks: Marks,
+    pub(super) marks: OffsetTimes,
     /// Records before this offset will soon be gone, and something there is still needed.
     pub(super) due: Option<id::Offset>,
     /// Whether it is being carried forward.
@@ -48,7 +48,7 @@
     /// Nothing is due yet.
     pub(super) fn new(retention: Duration) -> Self {
         Self {
-            marks: Marks::new(look_every(retention)),
+            marks: OffsetTimes::new(look_every(retention)),
             due: None,
             under_way: false,
             until: 0,
@@ -91,8 +91,8 @@
             return;
         };
         for followed in self.shards.values_mut().filter(|followed| followed.current) {
-            let before = followed.upkeep.marks.before(old);
-            if followed.fold.needs_care(before) {
+            let before = followed.upkeep.marks.offset_before(old);
+            if followed.fold.needs_maintenance(before) {
                 // What was once due stays so until it is done: the lease that it needs makes the shard look young again.
                 followed.upkeep.due = followed.upkeep.due.max(Some(before));
             }
--- a/crates/tinbank-batch/src/service.rs
+++ b/crates/tinbank-batch/src/service.rs
@@ -10,7 +10,7 @@
     record::Writer,
 };
 use tinbank_configuration::{follower::Follower, snapshot::Shared};
-use tinbank_ledger::lease::Terms;
+use tinbank_ledger::lease::Timings;
 use tinbank_log::writer;
 use tinbank_process::Error;
 use tinbank_routing::choice::Router;
@@ -40,7 +40,7 @@
     /// How many work shards the deployment has.
     pub shards: id::Shard,
     /// How leases are timed.
-    pub terms: Terms,
+    pub terms: Timings,
     /// How many members in rank follow a shard.
     pub followers: u32,
     /// How long the log keeps records.
--- a/crates/tinbank-batch/src/settings.rs
+++ b/crates/tinbank-batch/src/settings.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use serde::Deserialize;
-use tinbank_ledger::lease::Terms;
+use tinbank_ledger::lease::Timings;
 use tinbank_process::upstreams::REPORTS_PER_SECOND;
 use tinbank_settings::{
     common::Common,
@@ -79,16 +79,16 @@
 
 impl Settings {
     /// How leases are timed: all times follow from the silence.
-    pub fn terms(&self) -> Terms {
+    pub fn terms(&self) -> Timings {
         let silence = Duration::from_millis(self.lease_silence_ms);
-        Terms {
+        Timings {
             silence,
             stagger: silence / 3,
             gap: silence / 3 + Duration::from_secs(1),
             renew: silence / 3,
             retry: silence / 3,
             stale: (silence / 2).max(SHORTEST_STALE),
-            ..Terms::default()
+            ..Timings::default()
         }
     }
 }
--- a/crates/tinbank-batch/tests/faults.rs
+++ b/crates/tinbank-batch/tests/faults.rs
@@ -160,7 +160,7 @@
                     lease.apply(entry.offset, envelope.writer, *record);
                 }
             }
-            lease.heard(envelope.writer, entry.offset);
+            lease.record_envelope(envelope.writer, entry.offset);
         }
         lease.holder.map(|holder| holder.writer.process.host)
     };
--- a/crates/tinbank-batch/tests/support/mod.rs
+++ b/crates/tinbank-batch/tests/support/mod.rs
@@ -33,7 +33,7 @@
     service::Service as Served,
     snapshot::{Customer, Shared, Snapshot},
 };
-use tinbank_ledger::lease::Terms;
+use tinbank_ledger::lease::Timings;
 use tinbank_log::{budget, group, writer};
 use tinbank_server::{http::Listen, readiness::Flag, threads::Handles};
 use tinbank_test_support::log::Memory;
@@ -258,8 +258,8 @@
 }
 
 /// Short terms, so that takeovers don't make the tests slow; no test depends on their length.
-fn terms() -> Terms {
-    Terms {
+fn terms() -> Timings {
+    Timings {
         silence: Duration::from_millis(600),
         stagger: Duration::from_millis(200),
         gap: Duration::from_millis(1_500),
--- a/crates/tinbank-demo/src/entry.rs
+++ b/crates/tinbank-demo/src/entry.rs
@@ -319,7 +319,7 @@
         online
             .chain(batch)
             .chain(fleet)
-            .for_each(|core| core.endpoint.lose(percent));
+            .for_each(|core| core.endpoint.simulate_loss(percent));
     }
 
     /// Stops all processes as planned.
--- a/crates/tinbank-fleet/src/control.rs
+++ b/crates/tinbank-fleet/src/control.rs
@@ -18,7 +18,7 @@
     record::lease as record,
 };
 use tinbank_configuration::Snapshot;
-use tinbank_ledger::lease::{Change, Step, Terms, Want};
+use tinbank_ledger::lease::{Change, Step, Timings, Want};
 use tinbank_log::{
     reader::{self, Event, Reader},
     writer::Writer,
@@ -75,7 +75,7 @@
 
 impl Control {
     /// A loop that has read nothing yet. `phase` is how a planned stop is asked for and answered.
-    pub fn new(core: Arc<Core>, writer: Writer, terms: Terms, phase: watch::Sender<Phase>) -> Self {
+    pub fn new(core: Arc<Core>, writer: Writer, terms: Timings, phase: watch::Sender<Phase>) -> Self {
         let settings = reader::Settings {
             wait: EVERY,
             ..reader::Settings::default()
--- a/crates/tinbank-fleet/src/holder.rs
+++ b/crates/tinbank-fleet/src/holder.rs
@@ -10,7 +10,7 @@
     id,
     record::{Envelope, Writer, lease as record},
 };
-use tinbank_ledger::lease::{self, Change, Contender, Lease, Step, Terms, Want};
+use tinbank_ledger::lease::{self, Change, Contender, Lease, Step, Timings, Want};
 use tinbank_log::fold::Dedupe;
 
 use crate::plan;
@@ -45,7 +45,7 @@
 
 impl Holder {
     /// A process that has read nothing yet.
-    pub fn new(me: Writer, terms: Terms) -> Self {
+    pub fn new(me: Writer, terms: Timings) -> Self {
         Self {
             me,
             silence: terms.silence,
--- a/crates/tinbank-fleet/src/server.rs
+++ b/crates/tinbank-fleet/src/server.rs
@@ -15,7 +15,7 @@
     record::Writer,
 };
 use tinbank_configuration::follower::Follower;
-use tinbank_ledger::lease::Terms;
+use tinbank_ledger::lease::Timings;
 use tinbank_log::writer;
 use tinbank_process::{Core, Error, Platform, Runtimes, answer, on_control};
 use tinbank_server::{http, operator, threads::Handles};
@@ -80,7 +80,7 @@
         let mut stopped = self.phase.subscribe();
         self.phase.send_replace(Phase::Stopping);
         let given_back = stopped.wait_for(|phase| *phase == Phase::Stopped);
-        if tokio::time::timeout(Terms::default().silence, given_back)
+        if tokio::time::timeout(Timings::default().silence, given_back)
             .await
             .is_err()
         {
@@ -129,7 +129,7 @@
         watch::channel(1).1,
     );
     let phase = watch::Sender::new(Phase::Running);
-    let control = Control::new(core.clone(), writer, Terms::default(), phase.clone());
+    let control = Control::new(core.clone(), writer, Timings::default(), phase.clone());
     core.spawn(control.run());
     Ok(Server {
         http,
--- a/crates/tinbank-fleet/tests/holder.rs
+++ b/crates/tinbank-fleet/tests/holder.rs
@@ -9,7 +9,7 @@
     record::{Envelope, Writer, lease::Lease},
 };
 use tinbank_fleet::holder::Holder;
-use tinbank_ledger::lease::{Change, Step, Terms, Want};
+use tinbank_ledger::lease::{Change, Step, Timings, Want};
 use tinbank_test_support::property;
 
 #[test]
@@ -113,7 +113,7 @@
 #[test]
 fn a_holder_whose_records_were_all_trimmed_can_be_followed_after_its_silence() {
     let start = Instant::now();
-    let mut holder = Holder::new(writer(2), Terms::default());
+    let mut holder = Holder::new(writer(2), Timings::default());
     holder.trimmed(40);
 
     let taken_at = first_take(&mut holder, start);
@@ -124,7 +124,7 @@
     holder.read(40, &envelope(2, 1, take));
 
     assert!(
-        taken_at - start >= Terms::default().silence,
+        taken_at - start >= Timings::default().silence,
         "somebody may hold it"
     );
     assert_eq!(holder.term().map(|term| term.fence), Some(40));
@@ -133,7 +133,7 @@
 #[test]
 fn what_an_unknown_holder_writes_starts_its_silence_anew() {
     let start = Instant::now();
-    let mut holder = Holder::new(writer(2), Terms::default());
+    let mut holder = Holder::new(writer(2), Timings::default());
     holder.trimmed(40);
     holder.read_end(true, start);
     let renewed = start + Duration::from_secs(1);
@@ -141,7 +141,7 @@
 
     let taken_at = first_take(&mut holder, renewed);
 
-    assert!(taken_at - renewed >= Terms::default().silence);
+    assert!(taken_at - renewed >= Timings::default().silence);
 }
 
 #[test]
@@ -179,8 +179,8 @@
     fn readers_that_began_at_different_places_name_the_same_holder(
         steps in prop::collection::vec((0_u32..3, 0_u8..6), 1..40), first in 0_usize..40
     ) {
-        let mut whole = Holder::new(writer(9), Terms::default());
-        let mut late = Holder::new(writer(8), Terms::default());
+        let mut whole = Holder::new(writer(9), Timings::default());
+        let mut late = Holder::new(writer(8), Timings::default());
         late.trimmed(first as u64);
         let mut judged = false;
 
@@ -230,7 +230,7 @@
 }
 
 fn reader(host: u32, now: Instant) -> Holder {
-    let mut holder = Holder::new(writer(host), Terms::default());
+    let mut holder = Holder::new(writer(host), Timings::default());
     holder.read_end(true, now);
     holder
 }
--- a/crates/tinbank-ledger/src/claim.rs
+++ b/crates/tinbank-ledger/src/claim.rs
@@ -32,7 +32,7 @@
 
 impl Claims {
     /// What the log says of a claim; `None`: the key is free, so the claim has to be appended and read back first.
-    pub fn ask(&self, claim: &Claim) -> Option<Claimed> {
+    pub fn status(&self, claim: &Claim) -> Option<Claimed> {
         let entry = self.entries.get(&claim.key)?;
         if entry.claim.body != claim.body {
             return Some(Claimed::OtherBody {
--- a/crates/tinbank-ledger/src/lease/contender.rs
+++ b/crates/tinbank-ledger/src/lease/contender.rs
@@ -11,7 +11,7 @@
 
 /// Times that a lease is held by; the same on all hosts of a deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct Timings {
     /// Silence after which the first in rank may take another's lease.
     pub silence: Duration,
     /// How much longer each next in rank waits.
@@ -31,7 +31,7 @@
     pub stale: Duration,
 }
 
-impl Default for Terms {
+impl Default for Timings {
     fn default() -> Self {
         Self {
             silence: Duration::from_secs(6),
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug)]
 pub struct Contender {
     me: Writer,
-    terms: Terms,
+    terms: Timings,
     seen: Option<id::Offset>,
     /// When the lease's last record changed, as read here.
     changed: Option<Instant>,
@@ -98,7 +98,7 @@
 
 impl Contender {
     /// A contender that has read nothing yet.
-    pub fn new(me: Writer, terms: Terms) -> Self {
+    pub fn new(me: Writer, terms: Timings) -> Self {
         Self {
             me,
             terms,
@@ -154,7 +154,7 @@
 
     /// Whether the fold is stale although the log takes appends: then others may read it, and one of them should have
     /// the lease. In an outage for all this is not so, since no append is acknowledged.
-    pub fn is_deaf(&self, now: Instant) -> bool {
+    pub fn is_read_stalled(&self, now: Instant) -> bool {
         let (Some(current), Some(appended)) = (self.current, self.appended) else {
             return false;
         };
@@ -174,8 +174,8 @@
     fn hold(&mut self, lease: &Lease, epoch: id::Epoch, want: Want, now: Instant) -> Step {
         // A contender that began while we held the lease has the same time as others to come to the tail.
         self.current.get_or_insert(now);
-        let is_deaf = self.is_deaf(now);
-        let deaf = for_long(&mut self.deaf, is_deaf, self.terms.stale / 4, now);
+        let stalled_now = self.is_read_stalled(now);
+        let deaf = for_long(&mut self.deaf, stalled_now, self.terms.stale / 4, now);
         if self.is_stale(now) && !deaf {
             return Step::Hold;
         }
--- a/crates/tinbank-ledger/src/lease/mod.rs
+++ b/crates/tinbank-ledger/src/lease/mod.rs
@@ -4,7 +4,7 @@
 
 mod contender;
 
-pub use contender::{Contender, Step, Terms, Want};
+pub use contender::{Contender, Step, Timings, Want};
 
 use serde::{Deserialize, Serialize};
 use tinbank_base::{
@@ -50,7 +50,7 @@
     }
 
     /// Takes in that an envelope of `writer` stands at `offset`; called after its records.
-    pub fn heard(&mut self, writer: Writer, offset: id::Offset) {
+    pub fn record_envelope(&mut self, writer: Writer, offset: id::Offset) {
         if self.term(writer).is_some() {
             self.last = Some(offset);
         }
--- a/crates/tinbank-ledger/src/retention.rs
+++ b/crates/tinbank-ledger/src/retention.rs
@@ -12,7 +12,7 @@
 
 /// Joins offsets and times, as one reader saw them. Soft: it decides when to carry forward, never what counts.
 #[derive(Clone, Debug)]
-pub struct Marks {
+pub struct OffsetTimes {
     every: Duration,
     marks: VecDeque<Mark>,
     next: id::Offset,
@@ -24,7 +24,7 @@
     offset: id::Offset,
 }
 
-impl Marks {
+impl OffsetTimes {
     /// Marks that are `every` apart.
     pub fn new(every: Duration) -> Self {
         Self {
@@ -35,7 +35,7 @@
     }
 
     /// Notes an envelope that was read at `now`. It is as old as its stamp says, but no younger than now.
-    pub fn note(&mut self, offset: id::Offset, stamp: Stamp, now: SystemTime) {
+    pub fn record(&mut self, offset: id::Offset, stamp: Stamp, now: SystemTime) {
         self.next = offset + 1;
         let at = stamp.micros.min(clock::micros(now));
         let due = self
@@ -51,7 +51,7 @@
     }
 
     /// The records before this offset were all appended before `time`, as far as is known.
-    pub fn before(&self, time: SystemTime) -> id::Offset {
+    pub fn offset_before(&self, time: SystemTime) -> id::Offset {
         let time = clock::micros(time);
         let older = self.marks.partition_point(|mark| mark.at <= time);
         let Some(last) = older.checked_sub(1).map(|index| self.marks[index]) else {
--- a/crates/tinbank-ledger/src/shard/fold.rs
+++ b/crates/tinbank-ledger/src/shard/fold.rs
@@ -30,7 +30,7 @@
             };
             self.record(place, envelope.writer, record, &mut changes);
         }
-        self.lease.heard(envelope.writer, offset);
+        self.lease.record_envelope(envelope.writer, offset);
         changes
     }
 
--- a/crates/tinbank-ledger/src/shard/forget.rs
+++ b/crates/tinbank-ledger/src/shard/forget.rs
@@ -12,7 +12,7 @@
 
 impl Shard {
     /// Whether an owner is needed to write a checkpoint or to carry chunks forward before the records before `before` go.
-    pub fn needs_care(&self, before: id::Offset) -> bool {
+    pub fn needs_maintenance(&self, before: id::Offset) -> bool {
         self.needs_checkpoint(before) || self.to_carry(before).next().is_some()
     }
 
--- a/crates/tinbank-ledger/src/shard/mod.rs
+++ b/crates/tinbank-ledger/src/shard/mod.rs
@@ -145,8 +145,8 @@
     }
 
     /// What the log says of a claim; `None`: the key is free.
-    pub fn ask(&self, claim: &Claim) -> Option<tinbank_base::frame::request::Claimed> {
-        self.claims.ask(claim)
+    pub fn claim_status(&self, claim: &Claim) -> Option<tinbank_base::frame::request::Claimed> {
+        self.claims.status(claim)
     }
 
     /// How many records could not be decoded.
--- a/crates/tinbank-ledger/src/shard/query.rs
+++ b/crates/tinbank-ledger/src/shard/query.rs
@@ -34,9 +34,9 @@
     /// A dispatch record has to be appended and read back first.
     DispatchFirst,
     /// It may have been sent in an earlier term, and may not be sent again.
-    Spent,
+    MaybeSent,
     /// It has ended, or was cancelled, or is not known here.
-    Over,
+    Ended,
 }
 
 impl Shard {
@@ -102,7 +102,7 @@
         let chunk = work.and_then(|work| work.chunk(item.chunk));
         let item_number = item.item;
         if !chunk.is_some_and(|chunk| chunk.holds(item_number) && !chunk.ended(item_number)) {
-            return Sending::Over;
+            return Sending::Ended;
         }
         let key = Key {
             job,
@@ -110,7 +110,7 @@
         };
         match self.dispatches.get(&key) {
             Some(dispatch) if dispatch.epoch == epoch => Sending::Yes,
-            Some(_) => Sending::Spent,
+            Some(_) => Sending::MaybeSent,
             None if item.repeatable => Sending::Yes,
             None => Sending::DispatchFirst,
         }
--- a/crates/tinbank-ledger/tests/ledger/arbitrary.rs
+++ b/crates/tinbank-ledger/tests/ledger/arbitrary.rs
@@ -232,7 +232,7 @@
         work.pending_chunks().count();
     }
     shard.live();
-    shard.needs_care(shard.next());
+    shard.needs_maintenance(shard.next());
 }
 
 fn restore(records: &[Record], shard: id::Shard) -> Result<Option<Shard>, Error> {
--- a/crates/tinbank-ledger/tests/ledger/claim_world.rs
+++ b/crates/tinbank-ledger/tests/ledger/claim_world.rs
@@ -160,7 +160,7 @@
             keep_until: time(DAY),
         });
         let claim = claim.clone();
-        if self.owners[owner].ask(&claim).is_none() {
+        if self.owners[owner].claim_status(&claim).is_none() {
             self.append(owner, vec![Record::Claim(claim)]);
         }
     }
@@ -170,7 +170,7 @@
         let Some(claim) = this.claim.as_ref().filter(|_| this.result.is_none()) else {
             return;
         };
-        if self.owners[owner].ask(claim) != Some(Claimed::Won) {
+        if self.owners[owner].claim_status(claim) != Some(Claimed::Won) {
             return;
         }
         let answer = Bytes::from(format!("answer to {}", claim.request));
--- a/crates/tinbank-ledger/tests/ledger/claims.rs
+++ b/crates/tinbank-ledger/tests/ledger/claims.rs
@@ -22,15 +22,15 @@
 fn the_first_claim_wins_and_a_resend_waits_for_its_answer() {
     let (first, resend) = (claim(1, 10), claim(2, 20));
     let mut shard = Shard::new(0, SHARDS);
-    let free = shard.ask(&first);
+    let free = shard.claim_status(&first);
     append(
         &mut shard,
         vec![Record::Claim(first.clone()), Record::Claim(resend.clone())],
     );
 
-    let (won, running) = (shard.ask(&first), shard.ask(&resend));
+    let (won, running) = (shard.claim_status(&first), shard.claim_status(&resend));
     append(&mut shard, vec![Record::Settled(answered(&first))]);
-    let settled = shard.ask(&resend);
+    let settled = shard.claim_status(&resend);
 
     assert_eq!(free, None);
     assert_eq!(won, Some(Claimed::Won));
@@ -49,7 +49,7 @@
 
     append(&mut shard, vec![Record::Claim(first.clone())]);
 
-    let asked = shard.ask(&other);
+    let asked = shard.claim_status(&other);
     assert_eq!(asked, Some(Claimed::OtherBody { first: first.body }));
 }
 
@@ -61,7 +61,7 @@
 
     append(&mut shard, vec![Record::Settled(answered(&other))]);
 
-    assert_eq!(shard.ask(&first), Some(Claimed::Won));
+    assert_eq!(shard.claim_status(&first), Some(Claimed::Won));
     assert!(!shard.claims().settled(&answered(&other)));
 }
 
@@ -72,11 +72,11 @@
     append(&mut shard, vec![Record::Claim(first.clone())]);
     append(&mut shard, vec![Record::Settled(not_run(&first))]);
 
-    let free = shard.ask(&next);
+    let free = shard.claim_status(&next);
     append(&mut shard, vec![Record::Claim(next.clone())]);
 
     assert_eq!(free, None);
-    assert_eq!(shard.ask(&next), Some(Claimed::Won));
+    assert_eq!(shard.claim_status(&next), Some(Claimed::Won));
 }
 
 #[test]
@@ -90,7 +90,7 @@
     let next_offset = shard.next();
     shard.apply(next_offset, &claimed);
 
-    assert_eq!(shard.ask(&next), None);
+    assert_eq!(shard.claim_status(&next), None);
 }
 
 #[test]
@@ -109,7 +109,7 @@
 
     append(&mut shard, vec![Record::Settled(not_run(&first))]);
 
-    assert_eq!(shard.ask(&retry), Some(Claimed::Won));
+    assert_eq!(shard.claim_status(&retry), Some(Claimed::Won));
 }
 
 #[test]
@@ -132,8 +132,8 @@
     append(&mut shard, vec![Record::Settled(answered(&lost))]);
 
     assert_eq!(early, []);
-    assert_eq!(shard.ask(&lost), Some(Claimed::Unknown));
-    assert_eq!(shard.ask(&running), Some(Claimed::Won));
+    assert_eq!(shard.claim_status(&lost), Some(Claimed::Unknown));
+    assert_eq!(shard.claim_status(&running), Some(Claimed::Won));
     assert!(
         !shard.claims().settled(&answered(&lost)),
         "the later answer does not count"
@@ -169,8 +169,8 @@
 
     append_at(&mut shard, 2 * DAY, Vec::new());
 
-    assert_eq!(shard.ask(&settled), None);
-    assert_eq!(shard.ask(&open), Some(Claimed::Won));
+    assert_eq!(shard.claim_status(&settled), None);
+    assert_eq!(shard.claim_status(&open), Some(Claimed::Won));
     assert!(shard.live());
 }
 
--- a/crates/tinbank-ledger/tests/ledger/fold.rs
+++ b/crates/tinbank-ledger/tests/ledger/fold.rs
@@ -187,9 +187,9 @@
         duties.into_iter().map(|duty| duty.record).collect(),
     );
 
-    assert_eq!(spent, Sending::Spent);
+    assert_eq!(spent, Sending::MaybeSent);
     assert_eq!(items(&ended), [ONCE]);
-    assert_eq!(sending(&shard, 2), Sending::Over);
+    assert_eq!(sending(&shard, 2), Sending::Ended);
     assert_eq!(shard.count(JOB).map(|count| count.failed), Some(1));
 }
 
--- a/crates/tinbank-ledger/tests/ledger/lease.rs
+++ b/crates/tinbank-ledger/tests/ledger/lease.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use tinbank_base::{id, record::lease::Lease as Record};
-use tinbank_ledger::lease::{Change, Contender, Holder, Lease, Step, Terms, Want};
+use tinbank_ledger::lease::{Change, Contender, Holder, Lease, Step, Timings, Want};
 use tinbank_test_support::property;
 use yare::parameterized;
 
@@ -40,7 +40,7 @@
     let mut lease = held_by(holder);
     let seen = lease.last;
 
-    lease.heard(holder, 9);
+    lease.record_envelope(holder, 9);
     let late = lease.apply(
         10,
         contender,
@@ -79,7 +79,7 @@
     );
     let before = lease;
 
-    lease.heard(former, 2);
+    lease.record_envelope(former, 2);
     let released = lease.apply(3, former, Record::Release { epoch: 1 });
 
     assert_eq!(released, None);
@@ -104,7 +104,7 @@
     let now = Instant::now();
     let me = writer(0, 1);
     let lease = held_by(me);
-    let mut contender = Contender::new(me, Terms::default());
+    let mut contender = Contender::new(me, Timings::default());
     contender.observe_tail(&lease, true, now);
     let stopping = |in_flight| Want {
         rank: Some(0),
@@ -129,7 +129,7 @@
     let start = Instant::now();
     let me = writer(0, 1);
     let lease = held_by(me);
-    let mut contender = Contender::new(me, Terms::default());
+    let mut contender = Contender::new(me, Timings::default());
     contender.observe_tail(&lease, true, start);
     let want = Want {
         rank: Some(0),
@@ -151,7 +151,7 @@
     let renewed = steps
         .iter()
         .rfind(|(_, step)| *step == Step::Append(Record::Renew { epoch: 1 }));
-    assert!(renewed.is_some_and(|(at, _)| *at <= start + Terms::default().stale));
+    assert!(renewed.is_some_and(|(at, _)| *at <= start + Timings::default().stale));
     assert!(steps.iter().any(|(_, step)| *step == last), "{steps:?}");
     // Its release is given once, until the time to try again.
     let end = match last {
@@ -219,7 +219,7 @@
         world.order = order;
         world.run(40, |_, _| Fate::Up);
         let lost_both = [world.holder().unwrap_or_default(), lost];
-        let terms = Terms::default();
+        let terms = Timings::default();
         let longest = terms.silence + terms.stagger * PROCESSES as u32 + terms.gap;
         let polls = outage.0 + outage.1 + (longest.as_millis() / POLL.as_millis()) as usize + 2;
 
@@ -290,7 +290,7 @@
     fn new(live: bool) -> Self {
         let processes = (0..PROCESSES)
             .map(|process| Process {
-                contender: Contender::new(writer(process as id::Host, 1), Terms::default()),
+                contender: Contender::new(writer(process as id::Host, 1), Timings::default()),
                 fold: Lease::default(),
                 read: 0,
             })
@@ -356,7 +356,7 @@
     for (process, record) in &log[*read..] {
         let writer = writer(*process as id::Host, 1);
         lease.apply(*read as id::Offset, writer, *record);
-        lease.heard(writer, *read as id::Offset);
+        lease.record_envelope(writer, *read as id::Offset);
         *read += 1;
     }
 }
--- a/crates/tinbank-ledger/tests/ledger/soft.rs
+++ b/crates/tinbank-ledger/tests/ledger/soft.rs
@@ -4,7 +4,7 @@
 
 use tinbank_base::clock::{Stamp, micros};
 use tinbank_ledger::{
-    retention::Marks,
+    retention::OffsetTimes,
     shard::Key,
     suspect::{Policy, Suspects, Treatment},
 };
@@ -51,29 +51,29 @@
     the_last_before_an_idle_time = { 5_000, 4 },
 )]
 fn marks_know_what_is_old(asked: u64, expected: u64) {
-    let mut marks = Marks::new(Duration::from_secs(60));
+    let mut marks = OffsetTimes::new(Duration::from_secs(60));
     for (offset, at) in [(0, 10), (1, 70), (2, 80), (3, 90)] {
         let stamp = Stamp {
             micros: micros(time(at)),
             counter: 0,
         };
-        marks.note(offset, stamp, time(at));
+        marks.record(offset, stamp, time(at));
     }
 
-    let before = marks.before(time(asked));
+    let before = marks.offset_before(time(asked));
 
     assert_eq!(before, expected);
 }
 
 #[test]
 fn a_stamp_from_a_fast_clock_does_not_make_a_record_young() {
-    let mut marks = Marks::new(Duration::from_secs(60));
+    let mut marks = OffsetTimes::new(Duration::from_secs(60));
     let fast = Stamp {
         micros: micros(time(1_000_000)),
         counter: 0,
     };
 
-    marks.note(0, fast, time(10));
+    marks.record(0, fast, time(10));
 
-    assert_eq!(marks.before(time(100)), 1);
+    assert_eq!(marks.offset_before(time(100)), 1);
 }
--- a/crates/tinbank-ledger/tests/ledger/world.rs
+++ b/crates/tinbank-ledger/tests/ledger/world.rs
@@ -193,7 +193,7 @@
                     epoch,
                     items: vec![item.item],
                 })),
-                Sending::Yes | Sending::Spent | Sending::Over => {}
+                Sending::Yes | Sending::MaybeSent | Sending::Ended => {}
             }
         }
         if !dispatches.is_empty() {
--- a/crates/tinbank-membership/src/edge.rs
+++ b/crates/tinbank-membership/src/edge.rs
@@ -10,7 +10,7 @@
     peer::{Directory, Members},
     platform::hosts,
 };
-use tinbank_peer::{Endpoint, Heard};
+use tinbank_peer::{Endpoint, ReceivedHeartbeat};
 use tokio::{
     sync::{mpsc, oneshot, watch},
     time::{MissedTickBehavior, interval},
@@ -165,7 +165,7 @@
             let event = tokio::select! {
                 _ = ticks.tick() => Event::Tick,
                 heard = heard.recv() => match heard {
-                    Some(Heard { from, heartbeat }) => Event::Heard { from, heartbeat: Box::new(heartbeat) },
+                    Some(ReceivedHeartbeat { from, heartbeat }) => Event::Heard { from, heartbeat: Box::new(heartbeat) },
                     None => return,
                 },
                 command = commands.recv() => match command {
@@ -189,7 +189,7 @@
         for action in actions {
             match action {
                 Action::Send { to, heartbeat } => {
-                    self.endpoint.beat(to, *heartbeat);
+                    self.endpoint.send_heartbeat(to, *heartbeat);
                 }
                 Action::Members => members = true,
                 Action::Leaving => leaving = true,
--- a/crates/tinbank-peer/src/endpoint.rs
+++ b/crates/tinbank-peer/src/endpoint.rs
@@ -76,7 +76,7 @@
 
 /// A heartbeat that was received.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Heard {
+pub struct ReceivedHeartbeat {
     /// Who sent it; its MAC and sequence are checked.
     pub from: Writer,
     /// What it says.
@@ -97,7 +97,7 @@
     loss_percent: AtomicU8,
     pool: Pool,
     answer: Arc<OnceLock<Arc<dyn Answer>>>,
-    heard: std::sync::Mutex<Option<mpsc::Receiver<Heard>>>,
+    heard: std::sync::Mutex<Option<mpsc::Receiver<ReceivedHeartbeat>>>,
     stop: CancellationToken,
     _stop_on_drop: DropGuard,
 }
@@ -207,7 +207,7 @@
     }
 
     /// The heartbeats received; `None` after the first call, since membership alone takes them.
-    pub fn heartbeats(&self) -> Option<mpsc::Receiver<Heard>> {
+    pub fn heartbeats(&self) -> Option<mpsc::Receiver<ReceivedHeartbeat>> {
         let mut heard = self
             .shared
             .heard
@@ -217,12 +217,12 @@
     }
 
     /// Sends a heartbeat and returns its size in bytes. It may be lost.
-    pub fn beat(&self, to: SocketAddr, heartbeat: Heartbeat) -> usize {
+    pub fn send_heartbeat(&self, to: SocketAddr, heartbeat: Heartbeat) -> usize {
         self.send(to, Body::Heartbeat(Box::new(heartbeat)))
     }
 
     /// Loses so many in 100 datagrams that this endpoint sends, as a bad network does, so that the harm can be measured.
-    pub fn lose(&self, percent: u8) {
+    pub fn simulate_loss(&self, percent: u8) {
         self.shared.loss_percent.store(percent, Ordering::Relaxed);
     }
 
--- a/crates/tinbank-peer/src/lib.rs
+++ b/crates/tinbank-peer/src/lib.rs
@@ -9,5 +9,5 @@
 mod stream;
 
 pub use clock::Clock;
-pub use endpoint::{Endpoint, Error, Heard, Settings};
+pub use endpoint::{Endpoint, Error, ReceivedHeartbeat, Settings};
 pub use replay::Window;
--- a/crates/tinbank-peer/src/receive.rs
+++ b/crates/tinbank-peer/src/receive.rs
@@ -18,7 +18,7 @@
 use tokio::{net::UdpSocket, sync::mpsc};
 use tokio_util::sync::CancellationToken;
 
-use crate::{Heard, Window, endpoint::Identity};
+use crate::{ReceivedHeartbeat, Window, endpoint::Identity};
 
 /// Senders remembered for replay protection. Far more than processes in a deployment; a sender needs a key to be one.
 const MAX_SENDERS: usize = 8_192;
@@ -52,7 +52,7 @@
     identity: Arc<Identity>,
     senders: HashMap<id::Process, (id::Incarnation, Window)>,
     answer: Arc<OnceLock<Arc<dyn Answer>>>,
-    hear: mpsc::Sender<Heard>,
+    hear: mpsc::Sender<ReceivedHeartbeat>,
 }
 
 impl Receiver {
@@ -60,7 +60,7 @@
         address: SocketAddr,
         identity: Arc<Identity>,
         answer: Arc<OnceLock<Arc<dyn Answer>>>,
-        hear: mpsc::Sender<Heard>,
+        hear: mpsc::Sender<ReceivedHeartbeat>,
     ) -> Self {
         Self {
             address,
@@ -128,7 +128,7 @@
         self.identity.clock.observe(datagram.stamp);
         match datagram.body {
             Body::Heartbeat(heartbeat) => {
-                let heard = Heard {
+                let heard = ReceivedHeartbeat {
                     from: datagram.sender,
                     heartbeat: *heartbeat,
                 };
--- a/crates/tinbank-peer/tests/datagrams.rs
+++ b/crates/tinbank-peer/tests/datagrams.rs
@@ -13,7 +13,7 @@
         datagram::{MAX_BYTES, open_for, seal_for},
     },
 };
-use tinbank_peer::{Endpoint, Heard, Settings, Window};
+use tinbank_peer::{Endpoint, ReceivedHeartbeat, Settings, Window};
 use tokio::{net::UdpSocket, sync::mpsc};
 
 const SENDER: u32 = 1;
@@ -35,7 +35,7 @@
 }
 
 /// A receiver, its heartbeats and a bare socket to send to it.
-async fn receiver() -> (Endpoint, mpsc::Receiver<Heard>, UdpSocket) {
+async fn receiver() -> (Endpoint, mpsc::Receiver<ReceivedHeartbeat>, UdpSocket) {
     let endpoint = endpoint(RECEIVER, &[1]).await;
     let heard = endpoint.heartbeats().unwrap();
     let socket = UdpSocket::bind(loopback()).await.unwrap();
@@ -163,7 +163,7 @@
     let receiver = endpoint(RECEIVER, receiver).await;
     let mut heard = receiver.heartbeats().unwrap();
 
-    let size = sender.beat(receiver.address(), heartbeat(5));
+    let size = sender.send_heartbeat(receiver.address(), heartbeat(5));
 
     let heard = heard.recv().await.unwrap();
     assert_eq!(heard.from, writer(SENDER));
@@ -177,7 +177,7 @@
     let mut large = heartbeat(1);
     large.failure_domain = "x".repeat(MAX_BYTES);
 
-    let size = sender.beat(sender.address(), large);
+    let size = sender.send_heartbeat(sender.address(), large);
 
     assert_eq!(size, 0);
 }
