--- a/crates/tinbank-ledger/benches/fold.rs
+++ b/crates/tinbank-ledger/benches/fold.rs
@@ -1,4 +1,4 @@
-//! Speed of the fold, of its decoding, and of recovery. Figures and machine are in `docs/design/ledger.md`.
+//! Throughput of decoding, folding and recovery. Results are in `docs/design/ledger.md`.
 //!
 //! `cargo bench -p tinbank-ledger`
 
@@ -25,7 +25,7 @@
 const CHUNK: id::Item = 256;
 const BODY: usize = 400;
 const ANSWER: usize = 600;
-/// Completed records of one append.
+/// Completion records in one append.
 const GROUP: usize = 128;
 const SHARDS: u16 = 1;
 const CHECKPOINT_BYTES: usize = 256 << 10;
@@ -79,7 +79,7 @@
 
 fn decode_and_fold(mut shard: Shard, payloads: &[Bytes]) -> Shard {
     for payload in payloads {
-        let envelope = Envelope::decode(payload).expect("it was encoded here");
+        let envelope = Envelope::decode(payload).expect("the envelope must decode");
         black_box(shard.apply(shard.next(), &envelope));
     }
     shard
@@ -90,12 +90,12 @@
     payloads
         .iter()
         .find_map(|payload| {
-            let envelope = Envelope::decode(payload).expect("it was encoded here");
+            let envelope = Envelope::decode(payload).expect("the envelope must decode");
             recovery
                 .offer(id::Offset::MAX, &envelope)
-                .expect("it was written here")
+                .expect("the checkpoint must be readable")
         })
-        .expect("the checkpoint is whole")
+        .expect("the checkpoint must be complete")
 }
 
 fn intake() -> Vec<Envelope<work::Record>> {
--- a/crates/tinbank-ledger/examples/memory.rs
+++ b/crates/tinbank-ledger/examples/memory.rs
@@ -1,6 +1,9 @@
-//! Memory of items that wait or have half ended: `cargo run --release -p tinbank-ledger --example memory -- 256`
+//! Measures the memory of pending and half-completed items.
 //!
-//! The argument is the number of items in a chunk. Folds many jobs of one size, drops the records, and compares the process's resident memory before and after.
+//! `cargo run --release -p tinbank-ledger --example memory -- 256`
+//!
+//! The argument is the number of items in a chunk. Folds many jobs of one size, drops the records, and compares the
+//! resident memory of the process before and after.
 
 use std::{env, fs, time::UNIX_EPOCH};
 
@@ -23,11 +26,11 @@
     let before = resident();
     let mut shard = Shard::new(0, 1);
     for job in 0..CHUNKS / CHUNKS_PER_JOB {
-        take_in(&mut shard, job.into(), items);
+        submit_job(&mut shard, job.into(), items);
     }
     let pending = resident() - before;
     for job in 0..CHUNKS / CHUNKS_PER_JOB {
-        end_half(&mut shard, job.into(), items);
+        complete_half(&mut shard, job.into(), items);
     }
     let half = resident() - before;
     let total = (CHUNKS * items) as f64;
@@ -39,7 +42,7 @@
     assert!(shard.live());
 }
 
-fn take_in(shard: &mut Shard, job: id::Job, items: id::Item) {
+fn submit_job(shard: &mut Shard, job: id::Job, items: id::Item) {
     for chunk in 0..CHUNKS_PER_JOB {
         let first = chunk * items;
         let list = (0..items).map(|_| work::Item {
@@ -72,7 +75,7 @@
     append(shard, work::Record::Release(duty::release(&head, 0, 1)));
 }
 
-fn end_half(shard: &mut Shard, job: id::Job, items: id::Item) {
+fn complete_half(shard: &mut Shard, job: id::Job, items: id::Item) {
     for chunk in 0..CHUNKS_PER_JOB {
         let first = chunk * items;
         let completions = (0..items / 2).map(|item| work::Completion {
@@ -106,7 +109,7 @@
     shard.apply(shard.next(), &envelope);
 }
 
-/// Resident memory of this process in bytes.
+/// Returns the resident memory of this process in bytes.
 fn resident() -> usize {
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split_whitespace().nth(1);
--- a/crates/tinbank-ledger/src/change.rs
+++ b/crates/tinbank-ledger/src/change.rs
@@ -1,60 +1,60 @@
-//! What a record changed, so that the driver can act and answer those who wait.
+//! State changes made by folded records. The driver acts on them and answers waiting requests.
 
 use smallvec::SmallVec;
 use tinbank_base::{id, record::claim};
 
 use crate::lease;
 
-/// One change. Records that did not count give none.
+/// A change to the state of a shard. Ignored records produce none.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// The lease has a new holder, or none.
     Lease(lease::Change),
-    /// A head counts: the job is accepted.
+    /// A job was accepted by its first head record.
     Committed(id::Job),
-    /// A job's chunks in this shard may run.
+    /// A job's chunks in this shard were released to run.
     Released(id::Job),
-    /// A job was cancelled, as seen here: its items in flight have to be cancelled at the upstream.
+    /// A job was cancelled. Its items in flight must be cancelled at the upstream.
     Cancelled(id::Job),
-    /// Items have ended by completions that count.
+    /// Items ended with their first completion.
     Completed {
-        /// Which job.
+        /// Job id.
         job: id::Job,
-        /// Which chunk.
+        /// Chunk number in the job.
         chunk: id::Chunk,
-        /// The items.
+        /// Item numbers in the job.
         items: SmallVec<[id::Item; 8]>,
     },
-    /// Items have a dispatch record that counts: its writer may send them, once.
+    /// A dispatch record was accepted: its writer may send the items once.
     Dispatched {
-        /// Which job.
+        /// Job id.
         job: id::Job,
-        /// The items.
+        /// Item numbers in the job.
         items: SmallVec<[id::Item; 8]>,
     },
     /// All of a job's items in this shard have ended.
     Finished(id::Job),
-    /// A shard's part of a job was noted in the shard of its head.
+    /// A shard reported its part of a job as finished to the shard of the job's head.
     Part {
-        /// Which job.
+        /// Job id.
         job: id::Job,
-        /// Which shard has finished.
+        /// Shard that finished.
         shard: id::Shard,
     },
-    /// All shards have finished their part of a job; in the shard of its head.
+    /// All shards finished their part of a job. Emitted in the shard of the job's head.
     Ended(id::Job),
-    /// A claim is the first for its key.
+    /// A claim was accepted as the first for its key.
     Claimed(claim::Key),
     /// A claim was settled.
     Settled(claim::Key),
-    /// A chunk was carried forward.
+    /// A chunk was carried forward to a newer record.
     Carried {
-        /// Which job.
+        /// Job id.
         job: id::Job,
-        /// Which chunk.
+        /// Chunk number in the job.
         chunk: id::Chunk,
     },
 }
 
-/// The changes of one envelope.
+/// Changes made by one envelope.
 pub type Changes = SmallVec<[Change; 2]>;
--- a/crates/tinbank-ledger/src/checkpoint.rs
+++ b/crates/tinbank-ledger/src/checkpoint.rs
@@ -1,4 +1,4 @@
-//! Checkpoints: a shard's state as records, and back.
+//! Encodes a shard's state as checkpoint records and restores it from them.
 
 use std::collections::BTreeMap;
 
@@ -10,50 +10,56 @@
 
 use crate::shard::Shard;
 
-/// Version of the encoding that this build writes.
+/// Checkpoint encoding version written and read by this build.
 pub const VERSION: u8 = 1;
 
-/// Why a checkpoint can't be read.
+/// Error reading a checkpoint.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// Written by a later version.
-    #[error("the checkpoint has version {0}, this build reads {VERSION}")]
+    /// The encoding version is not supported.
+    #[error("unsupported checkpoint version {0}: this build reads version {VERSION}")]
     Version(u8),
-    /// Not a state of ours.
-    #[error("the checkpoint through {through} can't be decoded: {reason}")]
+    /// The bytes do not decode to a consistent state.
+    #[error("checkpoint through offset {through} can't be decoded: {reason}")]
     Malformed {
-        /// Its place.
+        /// Last offset that the checkpoint covers.
         through: id::Offset,
-        /// What is wrong.
+        /// Why decoding or the consistency check failed.
         reason: String,
     },
-    /// The state of another shard, or of a deployment with another number of shards.
-    #[error("the checkpoint is of shard {found} of {found_of}, this is shard {shard} of {shards}")]
+    /// The state is of another shard, or of a deployment with another number of shards.
+    #[error(
+        "checkpoint is of shard {found} of {found_of}, but shard {shard} of {shards} was expected"
+    )]
     Shard {
-        /// The shard that it is of.
+        /// Shard in the checkpoint.
         found: id::Shard,
-        /// The number of shards that it was written with.
+        /// Number of shards in the checkpoint.
         found_of: u16,
-        /// The shard that is read.
+        /// Shard being recovered.
         shard: id::Shard,
-        /// The number of shards of the deployment.
+        /// Number of shards of the deployment.
         shards: u16,
     },
-    /// A checkpoint stands behind what it holds, and its parts are numbered from 0.
-    #[error("part {part} of {parts} through {through} can't stand at offset {offset}")]
+    /// A checkpoint must follow the records it covers, and its part numbers must be below the number of parts.
+    #[error(
+        "invalid checkpoint part at offset {offset}: part {part} of {parts}, covering records through offset {through}"
+    )]
     Place {
-        /// Number of the part.
+        /// Part number, from 0.
         part: u32,
-        /// How many parts it claims to have.
+        /// Number of parts in the record.
         parts: u32,
-        /// Up to where it claims to reach.
+        /// Last offset that the record claims to cover.
         through: id::Offset,
-        /// Where it stands.
+        /// Offset of the record.
         offset: id::Offset,
     },
 }
 
-/// The state as records of at most `max_bytes` bytes each, to be appended in order. Empty before the first record.
+/// Encodes the state as records of at most `max_bytes` bytes of state each, to be appended in order.
+///
+/// Returns no records for a shard that has not folded any.
 pub fn records(shard: &Shard, max_bytes: usize) -> Vec<work::Record> {
     let Some(through) = shard.next().checked_sub(1) else {
         return Vec::new();
@@ -78,8 +84,10 @@
         .collect()
 }
 
-/// Finds the state of a stream whose oldest records are gone: reads from the first record left until a checkpoint
-/// is complete, then gives the state, to be folded on from [`Shard::next`].
+/// Recovers the state of a stream whose oldest records were deleted by retention.
+///
+/// Reads from the oldest remaining record until a checkpoint is complete, then returns its state. Folding
+/// continues from [`Shard::next`].
 #[derive(Clone, Debug)]
 pub struct Recovery {
     shard: id::Shard,
@@ -88,7 +96,7 @@
     found: BTreeMap<Writer, Series>,
 }
 
-/// The parts of the checkpoint that a writer began last.
+/// Parts collected so far of the last checkpoint that a writer started.
 #[derive(Clone, Debug)]
 struct Series {
     through: id::Offset,
@@ -97,7 +105,8 @@
 }
 
 impl Recovery {
-    /// Begins at the first record left of a shard's stream. `shards` is the number of shards of the deployment.
+    /// Starts at offset `first`, the oldest remaining record of the stream. `shards` is the number of shards of the
+    /// deployment.
     pub fn new(shard: id::Shard, shards: u16, first: id::Offset) -> Self {
         Self {
             shard,
@@ -107,30 +116,31 @@
         }
     }
 
-    /// Takes in the envelope at `offset`; gives the state once a checkpoint is complete that leaves no gap.
+    /// Reads the envelope at `offset`. Returns the state once a checkpoint is complete that leaves no gap to the
+    /// oldest remaining record.
     ///
     /// # Errors
-    /// A checkpoint that can't be read is named and passed over; a later one may do.
+    /// Returns an error for a checkpoint that can't be read. Recovery can continue: a later one may be readable.
     pub fn offer(
         &mut self,
         offset: id::Offset,
         envelope: &Envelope<work::Record>,
     ) -> Result<Option<Shard>, Error> {
-        let mut fault = None;
+        let mut last_error = None;
         for record in &envelope.records {
             let work::Record::Checkpoint(part) = record else {
                 continue;
             };
-            match self.part(offset, envelope.writer, part) {
+            match self.add_part(offset, envelope.writer, part) {
                 Ok(Some(shard)) => return Ok(Some(shard)),
                 Ok(None) => {}
-                Err(error) => fault = Some(error),
+                Err(error) => last_error = Some(error),
             }
         }
-        fault.map_or(Ok(None), Err)
+        last_error.map_or(Ok(None), Err)
     }
 
-    fn part(
+    fn add_part(
         &mut self,
         offset: id::Offset,
         writer: Writer,
@@ -150,9 +160,9 @@
         if part.through.saturating_add(1) < self.first {
             return Ok(None);
         }
-        let series = self.found.entry(writer).or_insert_with(|| Series::of(part));
+        let series = self.found.entry(writer).or_insert_with(|| Series::new(part));
         if (series.through, series.parts) != (part.through, part.parts) {
-            *series = Series::of(part);
+            *series = Series::new(part);
         }
         series.found.insert(part.part, part.state.clone());
         if series.found.len() < part.parts as usize {
@@ -163,10 +173,10 @@
             .remove(&writer)
             .map(|series| restore(part.through, series.found.values()))
             .transpose()?;
-        shard.map(|shard| self.ours(shard)).transpose()
+        shard.map(|shard| self.check_shard(shard)).transpose()
     }
 
-    fn ours(&self, shard: Shard) -> Result<Shard, Error> {
+    fn check_shard(&self, shard: Shard) -> Result<Shard, Error> {
         let (found, found_of) = (shard.number(), shard.shards());
         if (found, found_of) == (self.shard, self.shards) {
             return Ok(shard);
@@ -181,7 +191,7 @@
 }
 
 impl Series {
-    fn of(part: &work::Checkpoint) -> Self {
+    fn new(part: &work::Checkpoint) -> Self {
         Self {
             through: part.through,
             parts: part.parts,
@@ -200,13 +210,16 @@
     let (shard, rest) =
         postcard::take_from_bytes::<Shard>(&state).map_err(|error| malformed(error.to_string()))?;
     if !rest.is_empty() {
-        return Err(malformed(format!("{} bytes too many", rest.len())));
+        return Err(malformed(format!("{} unexpected bytes at the end", rest.len())));
     }
     if shard.next().checked_sub(1) != Some(through) {
-        return Err(malformed(format!("its state is of {}", shard.next())));
+        return Err(malformed(format!(
+            "its state continues at offset {}",
+            shard.next()
+        )));
     }
-    match shard.fault() {
-        Some(fault) => Err(malformed(fault.to_owned())),
+    match shard.inconsistency() {
+        Some(reason) => Err(malformed(reason.to_owned())),
         None => Ok(shard),
     }
 }
--- a/crates/tinbank-ledger/src/chunk.rs
+++ b/crates/tinbank-ledger/src/chunk.rs
@@ -1,31 +1,33 @@
-//! What a shard remembers of a chunk: where its bodies stand, and which of its items have ended.
+//! In-memory summary of a chunk: the log position of its bodies, and which of its items have ended.
 
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
 use tinbank_base::{id, record::work};
 
-/// Largest number of items of a chunk that the fold takes.
+/// Largest number of items in a chunk. The fold ignores larger chunks.
 pub const MAX_ITEMS: usize = u16::MAX as usize;
 
-/// A place in the shard's stream: an envelope, and a record in it.
+/// Position of a record in the shard's stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Place {
-    /// Offset of the envelope.
+    /// Offset of the envelope that contains the record.
     pub offset: id::Offset,
-    /// Index of the record in it.
+    /// Index of the record in the envelope.
     pub record: u16,
 }
 
-/// A chunk whose bodies stay in the log. It takes 32 bytes, and a bit an item more from the first completion on.
+/// A chunk whose bodies stay in the log.
+///
+/// Kept small, since a shard holds many: the completion bitmap is allocated with the first completion.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
     offset: id::Offset,
     record: u16,
     items: u16,
     pending: u16,
-    /// Which chunk of its job.
+    /// Chunk number in the job.
     pub chunk: id::Chunk,
-    /// Number of its first item in the job.
+    /// Number in the job of its first item.
     pub first: id::Item,
     progress: Option<Box<Progress>>,
 }
@@ -37,7 +39,7 @@
 }
 
 impl Chunk {
-    /// The summary of a chunk that stands at a place; `None` if its numbers can't be ours.
+    /// Returns the summary of the chunk record at `place`, or `None` if its item count or numbers are out of range.
     pub fn new(place: Place, chunk: &work::Chunk) -> Option<Self> {
         let items = u16::try_from(chunk.items.len()).ok()?;
         chunk.first.checked_add(id::Item::from(items))?;
@@ -52,7 +54,7 @@
         })
     }
 
-    /// Where its bodies stand.
+    /// Position of the record that holds its bodies.
     pub fn place(&self) -> Place {
         Place {
             offset: self.offset,
@@ -60,36 +62,36 @@
         }
     }
 
-    /// How many items it has.
+    /// Number of its items.
     pub fn items(&self) -> id::Item {
         id::Item::from(self.items)
     }
 
-    /// How many of its items have not ended.
+    /// Number of its items that have not ended.
     pub fn pending(&self) -> id::Item {
         id::Item::from(self.pending)
     }
 
-    /// Whether an item is one of its own.
+    /// Returns whether an item belongs to this chunk.
     pub fn holds(&self, item: id::Item) -> bool {
         item >= self.first && item - self.first < self.items()
     }
 
-    /// Whether an item has ended.
+    /// Returns whether an item has ended.
     pub fn ended(&self, item: id::Item) -> bool {
         let Some(progress) = self.progress.as_ref().filter(|_| self.holds(item)) else {
             return false;
         };
-        let (word, bit) = position(item - self.first);
+        let (word, bit) = bit_position(item - self.first);
         progress.ended[word] & bit != 0
     }
 
-    /// The items that have not ended, ascending.
+    /// Items that have not ended, ascending.
     pub fn pending_items(&self) -> impl Iterator<Item = id::Item> + '_ {
         (self.first..self.first + self.items()).filter(|item| !self.ended(*item))
     }
 
-    /// Offsets of the envelopes that hold completions that count, in the order in which they have to be read.
+    /// Offsets of the envelopes that hold the first completion of an item, in the order in which they must be read.
     pub fn results(&self) -> &[id::Offset] {
         self.progress
             .as_ref()
@@ -102,8 +104,8 @@
         results.map_or(self.offset, |result| result.min(self.offset))
     }
 
-    /// Whether a decoded value is one that [`Chunk::new`] and [`Chunk::end`] could have made.
-    pub(crate) fn sound(&self) -> bool {
+    /// Returns whether a decoded value is one that [`Chunk::new`] and [`Chunk::end_item`] can produce.
+    pub(crate) fn is_consistent(&self) -> bool {
         let fits = self.progress.as_ref().is_none_or(|progress| {
             let bits = progress.ended.len() * u64::BITS as usize;
             let last = progress.ended.last();
@@ -117,8 +119,8 @@
         self.pending_items().count() == usize::from(self.pending)
     }
 
-    /// Ends an item; `true` the first time.
-    pub(crate) fn end(&mut self, item: id::Item, offset: id::Offset) -> bool {
+    /// Marks an item as ended by the completion at `offset`. Returns whether it had not ended before.
+    pub(crate) fn end_item(&mut self, item: id::Item, offset: id::Offset) -> bool {
         if !self.holds(item) || self.ended(item) {
             return false;
         }
@@ -128,7 +130,7 @@
                 results: SmallVec::new(),
             })
         });
-        let (word, bit) = position(item - self.first);
+        let (word, bit) = bit_position(item - self.first);
         progress.ended[word] |= bit;
         if progress.results.last() != Some(&offset) {
             progress.results.push(offset);
@@ -137,7 +139,8 @@
         true
     }
 
-    /// Moves the bodies, and the results up to `through`, to where they were carried; `false` if that is out of date.
+    /// Moves the bodies, and the results up to offset `through`, to the carried copy at `place`. Returns `false` if
+    /// the copy is out of date.
     pub(crate) fn carry(&mut self, place: Place, through: id::Offset) -> bool {
         if self.offset > through || through >= place.offset {
             return false;
@@ -154,24 +157,25 @@
         true
     }
 
-    /// Moves the results of one envelope to another; `false` if none are read from there.
+    /// Replaces the results envelope at `from` with the one at `to`. Returns `false` if no results are read from
+    /// `from`.
     pub(crate) fn move_results(&mut self, from: id::Offset, to: id::Offset) -> bool {
         let results = self.progress.iter_mut();
         let mut results = results.flat_map(|progress| &mut progress.results);
-        let Some(place) = results.find(|result| **result == from) else {
+        let Some(offset) = results.find(|result| **result == from) else {
             return false;
         };
-        *place = to;
+        *offset = to;
         true
     }
 }
 
-/// Words of a bit for each item.
+/// Number of 64-bit words of a bitmap of `items` bits.
 fn words(items: u16) -> usize {
     usize::from(items).div_ceil(u64::BITS as usize)
 }
 
-fn position(index: id::Item) -> (usize, u64) {
+fn bit_position(index: id::Item) -> (usize, u64) {
     let word = index / u64::BITS;
     (word as usize, 1 << (index % u64::BITS))
 }
--- a/crates/tinbank-ledger/src/claim.rs
+++ b/crates/tinbank-ledger/src/claim.rs
@@ -1,4 +1,4 @@
-//! Claims of online requests that run at most once. See `docs/design/claims.md`.
+//! Idempotency claims of online requests, which run at most once. See `docs/design/claims.md`.
 
 use std::{
     collections::BTreeMap,
@@ -17,7 +17,7 @@
     },
 };
 
-/// The fold of a shard's claims.
+/// Claims of a shard, folded from its records.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claims {
     entries: BTreeMap<Key, Entry>,
@@ -31,7 +31,8 @@
 }
 
 impl Claims {
-    /// What the log says of a claim; `None`: the key is free, so the claim has to be appended and read back first.
+    /// Returns the state of a claim, or `None` if the key is free: the claim must then be appended and read back
+    /// before the request may run.
     pub fn status(&self, claim: &Claim) -> Option<Claimed> {
         let entry = self.entries.get(&claim.key)?;
         if entry.claim.body != claim.body {
@@ -48,28 +49,30 @@
         })
     }
 
-    /// Whether a settlement is the one that counts, asked after it was read back.
+    /// Returns whether a settlement that was read back is the one that took effect.
     pub fn settled(&self, settled: &Settled) -> bool {
         let entry = self.entries.get(&settled.key);
-        match entry.filter(|entry| entry.is_of(settled)) {
+        match entry.filter(|entry| entry.is_settled_by(settled)) {
             Some(entry) => entry.answer.as_ref() == Some(&settled.answer),
             None => not_run(settled),
         }
     }
 
-    /// Whether a decoded value is one that the fold could have made.
-    pub(crate) fn sound(&self) -> bool {
+    /// Returns whether a decoded value is one that the fold can produce.
+    pub(crate) fn is_consistent(&self) -> bool {
         let open = self.entries.values().filter(|entry| entry.answer.is_none());
         open.count() == self.open
     }
 
-    /// Whether any claim is open.
+    /// Returns whether any claim is open.
     pub fn live(&self) -> bool {
         self.open > 0
     }
 
-    /// Settlements to append for open claims whose claimer is known to be gone, or whose deadline is past by more
-    /// than `grace`. The record decides, not this clock: if the claimer's own settlement comes first, it counts.
+    /// Returns settlements to append for open claims whose claimer is gone, or whose deadline passed more than `grace`
+    /// ago.
+    ///
+    /// The order of records in the log decides: if the claimer's own settlement comes first, it takes effect.
     pub fn overdue(
         &self,
         wall: SystemTime,
@@ -81,12 +84,12 @@
         }
         let open = self.entries.values().filter(|entry| entry.answer.is_none());
         open.filter(|entry| entry.claim.deadline + grace < wall || gone(entry.claim.claimer))
-            .map(|entry| unknown(&entry.claim))
+            .map(|entry| outcome_unknown(&entry.claim))
             .collect()
     }
 
-    /// Takes in a claim; `true` if it is the first for its key.
-    pub(crate) fn claim(&mut self, claim: &Claim) -> bool {
+    /// Applies a claim. Returns whether it is the first for its key.
+    pub(crate) fn apply_claim(&mut self, claim: &Claim) -> bool {
         if self.entries.contains_key(&claim.key) {
             return false;
         }
@@ -99,12 +102,12 @@
         true
     }
 
-    /// Takes in a settlement; `true` if it is the first of the claim's own.
-    pub(crate) fn settle(&mut self, settled: &Settled) -> bool {
+    /// Applies a settlement. Returns whether it is the first one by the claim's own claimer and request.
+    pub(crate) fn apply_settled(&mut self, settled: &Settled) -> bool {
         let Some(entry) = self.entries.get_mut(&settled.key) else {
             return false;
         };
-        if !entry.is_of(settled) || entry.answer.is_some() {
+        if !entry.is_settled_by(settled) || entry.answer.is_some() {
             return false;
         }
         if not_run(settled) {
@@ -116,8 +119,8 @@
         true
     }
 
-    /// Forgets settled claims whose time is over at log time `micros`.
-    pub(crate) fn forget(&mut self, micros: u64) {
+    /// Removes settled claims that have expired at log time `micros`.
+    pub(crate) fn remove_expired(&mut self, micros: u64) {
         self.entries.retain(|_, entry| {
             entry.answer.is_none() || clock::micros(entry.claim.keep_until) >= micros
         });
@@ -125,7 +128,7 @@
 }
 
 impl Entry {
-    fn is_of(&self, settled: &Settled) -> bool {
+    fn is_settled_by(&self, settled: &Settled) -> bool {
         self.claim.claimer == settled.claimer && self.claim.request == settled.request
     }
 }
@@ -134,7 +137,7 @@
     matches!(&settled.answer, Err(stored) if stored.ran == Ran::No)
 }
 
-fn unknown(claim: &Claim) -> Settled {
+fn outcome_unknown(claim: &Claim) -> Settled {
     Settled {
         key: claim.key,
         claimer: claim.claimer,
--- a/crates/tinbank-ledger/src/duty.rs
+++ b/crates/tinbank-ledger/src/duty.rs
@@ -1,4 +1,4 @@
-//! What the owner of a shard has to append, to its own and to other shards, until it is done.
+//! Records that the owner of a shard must append, to its own and to other shards, and retry until they take effect.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,41 +13,41 @@
 
 use crate::{job::Job, placement, shard::Shard};
 
-/// Attempts noted for an item whose outcome is unknown.
+/// Attempts reported for an item whose outcome is unknown.
 const UNKNOWN_ATTEMPTS: u16 = 1;
 
-/// Names a duty.
+/// Identifies a duty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Key {
     /// Release a job's chunks in a shard.
     Release {
-        /// Which job.
+        /// Job id.
         job: id::Job,
-        /// In which shard.
+        /// Shard of the chunks.
         shard: id::Shard,
     },
     /// Cancel a job in a shard.
     Cancel {
-        /// Which job.
+        /// Job id.
         job: id::Job,
-        /// In which shard.
+        /// Shard of the chunks.
         shard: id::Shard,
     },
-    /// Tell the shard of a job's head that our part has finished.
-    Part {
-        /// Which job.
+    /// Report to the shard of a job's head that this shard's part has finished.
+    ReportPart {
+        /// Job id.
         job: id::Job,
     },
-    /// Note in our own shard that it was told.
-    Told {
-        /// Which job.
+    /// Record in this shard that the part was reported.
+    RecordReported {
+        /// Job id.
         job: id::Job,
     },
-    /// End items that an earlier owner may have sent and that may not be repeated.
+    /// End items with an unknown outcome: an earlier owner may have sent them, and they must not run twice.
     Unknown {
-        /// Which job.
+        /// Job id.
         job: id::Job,
-        /// Which chunk.
+        /// Chunk number in the job.
         chunk: id::Chunk,
     },
 }
@@ -55,19 +55,19 @@
 /// A record to append.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Duty {
-    /// Its name, for [`Duties::acknowledged`].
+    /// Identifies the duty in [`Duties::acknowledged`].
     pub key: Key,
-    /// The shard to append it to.
+    /// Shard to append the record to.
     pub shard: id::Shard,
-    /// The record.
+    /// Record to append.
     pub record: work::Record,
 }
 
-/// Keeps the owner's duties of one shard, over the retries of a term.
+/// Tracks the owner's duties of one shard and their retries during a term.
 ///
-/// A duty to our own shard ends when its record is read back. One to another shard, which we don't read, ends
-/// with the acknowledgement of its append: it lasts then, and nothing can keep it from counting. That is
-/// remembered for a term only; the next owner repeats what is not seen to be done, which is harmless.
+/// A duty in the owner's own shard is done when its record is read back. A duty in another shard, which the owner
+/// does not read, is done when its append is acknowledged. Acknowledgements are kept for one term; the next owner
+/// repeats duties that it can't see to be done, which has no effect.
 #[derive(Clone, Debug)]
 pub struct Duties {
     retry: Duration,
@@ -77,7 +77,7 @@
 }
 
 impl Duties {
-    /// Duties of which each is given again after `retry` until it is done.
+    /// Creates a tracker that returns each duty again every `retry` until it is done.
     pub fn new(retry: Duration) -> Self {
         Self {
             retry,
@@ -87,9 +87,9 @@
         }
     }
 
-    /// What to append now; nothing unless `me` holds the shard's lease.
+    /// Returns the duties to append now. Empty unless `me` holds the shard's lease.
     pub fn due(&mut self, shard: &Shard, me: Writer, now: Instant) -> Vec<Duty> {
-        self.turn(shard.lease().term(me));
+        self.start_term(shard.lease().term(me));
         let Some(epoch) = self.epoch else {
             return Vec::new();
         };
@@ -108,14 +108,14 @@
         due
     }
 
-    /// Notes that the append of a duty was acknowledged.
+    /// Records that the append of a duty was acknowledged.
     pub fn acknowledged(&mut self, shard: &Shard, duty: &Duty) {
         if duty.shard != shard.number() && self.sent.contains_key(&duty.key) {
             self.acknowledged.insert(duty.key);
         }
     }
 
-    fn turn(&mut self, epoch: Option<id::Epoch>) {
+    fn start_term(&mut self, epoch: Option<id::Epoch>) {
         if self.epoch == epoch {
             return;
         }
@@ -127,18 +127,18 @@
     fn open(&self, shard: &Shard, epoch: id::Epoch) -> Vec<Duty> {
         let mut open = Vec::new();
         for job in shard.live_jobs() {
-            self.releases(shard, job, &mut open);
-            self.cancels(shard, job, &mut open);
+            self.add_releases(shard, job, &mut open);
+            self.add_cancels(shard, job, &mut open);
         }
         for job in shard.live_works() {
-            open.extend(self.part(shard, job));
+            open.extend(self.part_report(shard, job));
         }
-        open.extend(unknown(shard, epoch));
+        open.extend(unknown_outcomes(shard, epoch));
         open
     }
 
-    fn releases(&self, shard: &Shard, job: &Job, open: &mut Vec<Duty>) {
-        for to in missing(job) {
+    fn add_releases(&self, shard: &Shard, job: &Job, open: &mut Vec<Duty>) {
+        for to in unfinished_shards(job) {
             if self.released(shard, job, to) {
                 continue;
             }
@@ -165,16 +165,16 @@
         })
     }
 
-    fn cancels(&self, shard: &Shard, job: &Job, open: &mut Vec<Duty>) {
+    fn add_cancels(&self, shard: &Shard, job: &Job, open: &mut Vec<Duty>) {
         if !job.cancelled {
             return;
         }
-        for to in missing(job) {
+        for to in unfinished_shards(job) {
             let key = Key::Cancel {
                 job: job.head.job,
                 shard: to,
             };
-            // A cancel that came before its release could meet a finished predecessor of the job.
+            // Without its release, the cancel could apply to an earlier, finished intake of the same job.
             if !self.released(shard, job, to) || self.acknowledged.contains(&key) {
                 continue;
             }
@@ -190,7 +190,7 @@
         }
     }
 
-    fn part(&self, shard: &Shard, job: id::Job) -> Option<Duty> {
+    fn part_report(&self, shard: &Shard, job: id::Job) -> Option<Duty> {
         let work = shard.work(job).filter(|work| work.finished())?;
         let count = work.count();
         let part = work::Part {
@@ -202,17 +202,17 @@
             cancelled: count.cancelled,
         };
         let head = placement::shard_of_job(job, shard.shards());
-        let key = Key::Part { job };
-        let told = head == shard.number() || self.acknowledged.contains(&key);
+        let key = Key::ReportPart { job };
+        let reported = head == shard.number() || self.acknowledged.contains(&key);
         Some(Duty {
-            key: if told { Key::Told { job } } else { key },
-            shard: if told { shard.number() } else { head },
+            key: if reported { Key::RecordReported { job } } else { key },
+            shard: if reported { shard.number() } else { head },
             record: work::Record::Part(part),
         })
     }
 }
 
-/// The release of a job's chunks in a shard.
+/// Returns the release record for a job's chunks in a shard.
 pub fn release(head: &work::Head, shard: id::Shard, shards: u16) -> work::Release {
     work::Release {
         job: head.job,
@@ -225,14 +225,14 @@
     }
 }
 
-fn missing(job: &Job) -> impl Iterator<Item = id::Shard> {
+fn unfinished_shards(job: &Job) -> impl Iterator<Item = id::Shard> {
     let shards = job.head.shards.iter().copied();
     shards.filter(|shard| !job.has_part(*shard))
 }
 
-fn unknown(shard: &Shard, epoch: id::Epoch) -> Vec<Duty> {
+fn unknown_outcomes(shard: &Shard, epoch: id::Epoch) -> Vec<Duty> {
     let mut chunks: BTreeMap<Key, Vec<work::Completion>> = BTreeMap::new();
-    for (item, dispatch) in shard.spent(epoch) {
+    for (item, dispatch) in shard.maybe_sent(epoch) {
         let key = Key::Unknown {
             job: item.job,
             chunk: dispatch.chunk,
@@ -270,7 +270,7 @@
         Key::Release { job, .. } | Key::Cancel { job, .. } => {
             shard.job(job).is_some_and(|job| !job.finished())
         }
-        Key::Part { job } | Key::Told { job } => shard.work(job).is_some_and(|work| !work.told),
+        Key::ReportPart { job } | Key::RecordReported { job } => shard.work(job).is_some_and(|work| !work.reported),
         Key::Unknown { .. } => false,
     }
 }
--- a/crates/tinbank-ledger/src/job.rs
+++ b/crates/tinbank-ledger/src/job.rs
@@ -1,52 +1,52 @@
-//! Jobs, seen from the shard of their head ([`Job`]) and from each shard of their chunks ([`Work`]).
+//! State of jobs: in the shard of their head ([`Job`]), and in each shard of their chunks ([`Work`]).
 
 use serde::{Deserialize, Serialize};
 use tinbank_base::{id, record::work};
 
 use crate::chunk::Chunk;
 
-/// A job in the shard of its head.
+/// State of a job in the shard of its head.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Job {
-    /// The head that counts.
+    /// The accepted head: the first one appended.
     pub head: work::Head,
-    /// Whether it was cancelled.
+    /// Whether the job was cancelled.
     pub cancelled: bool,
-    /// What the shards that have finished said.
+    /// Reports of the shards that have finished their part.
     pub parts: Vec<work::Part>,
 }
 
 impl Job {
-    /// Whether a shard has finished its part.
+    /// Returns whether a shard has finished its part.
     pub fn has_part(&self, shard: id::Shard) -> bool {
         self.parts.iter().any(|part| part.shard == shard)
     }
 
-    /// Whether all shards have finished their part.
+    /// Returns whether all shards have finished their part.
     pub fn finished(&self) -> bool {
         self.head.shards.iter().all(|shard| self.has_part(*shard))
     }
 }
 
-/// A job's chunks in one shard.
+/// State of a job's chunks in one shard.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Work {
-    /// What released the chunks; before it they don't run.
+    /// The release record. Chunks don't run without it.
     pub release: Option<work::Release>,
     /// Whether the job was cancelled.
     pub cancelled: bool,
-    /// Whether this shard's part was noted in the head's shard.
-    pub told: bool,
-    /// Log time of the last record about it, in microseconds since 1970.
-    pub(crate) touched: u64,
-    /// Whether it was found finished.
+    /// Whether this shard's part was reported to the shard of the job's head.
+    pub reported: bool,
+    /// Log time of the last chunk, release or cancel record, in microseconds since 1970.
+    pub(crate) updated_at: u64,
+    /// Whether [`crate::Change::Finished`] was emitted.
     pub(crate) ended: bool,
-    /// Chunks of the released intake, by number.
+    /// Chunks of the released intake, sorted by number.
     chunks: Vec<Chunk>,
-    /// Chunks of intakes that are not released.
+    /// Chunks of intakes that were not released.
     waiting: Vec<Waiting>,
-    /// All chunks before this index have ended.
-    low: usize,
+    /// Index of the first chunk with pending items.
+    first_pending: usize,
     items: id::Item,
     answered: id::Item,
     failed: id::Item,
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Waiting {
     pub(crate) intake: u64,
-    /// Log time of its record, in microseconds since 1970.
+    /// Log time of the chunk record, in microseconds since 1970.
     at: u64,
     pub(crate) chunk: Chunk,
 }
@@ -64,23 +64,23 @@
 pub use tinbank_base::frame::request::Count;
 
 impl Work {
-    /// Whether all chunks are here and no item is to be run any more.
+    /// Returns whether all chunks were read and no item remains to run.
     pub fn finished(&self) -> bool {
         let Some(release) = &self.release else {
             return false;
         };
-        let whole = self.chunks.len() as u64 >= u64::from(release.chunks);
-        whole && (self.cancelled || self.open() == 0)
+        let complete = self.chunks.len() as u64 >= u64::from(release.chunks);
+        complete && (self.cancelled || self.open_items() == 0)
     }
 
-    /// Whether items may be sent.
+    /// Returns whether items may be sent.
     pub fn runnable(&self) -> bool {
-        self.release.is_some() && !self.cancelled && self.open() > 0
+        self.release.is_some() && !self.cancelled && self.open_items() > 0
     }
 
     /// Counts of its items.
     pub fn count(&self) -> Count {
-        let open = self.open();
+        let open = self.open_items();
         Count {
             pending: if self.cancelled { 0 } else { open },
             answered: self.answered,
@@ -89,21 +89,21 @@
         }
     }
 
-    /// The chunks that run, by number.
+    /// Chunks of the released intake, sorted by number.
     pub fn chunks(&self) -> &[Chunk] {
         &self.chunks
     }
 
-    /// A chunk that runs.
+    /// Returns a chunk of the released intake.
     pub fn chunk(&self, chunk: id::Chunk) -> Option<&Chunk> {
         let index = self.find(chunk).ok()?;
         self.chunks.get(index)
     }
 
-    /// Chunks with items to run, by number.
+    /// Chunks with items to run, sorted by number.
     pub fn pending_chunks(&self) -> impl Iterator<Item = &Chunk> {
         let from = if self.runnable() {
-            self.low
+            self.first_pending
         } else {
             self.chunks.len()
         };
@@ -112,9 +112,9 @@
             .filter(|chunk| chunk.pending() > 0)
     }
 
-    /// Takes in a chunk at log time `at`; the first copy counts. `true` if it may run.
+    /// Adds a chunk read at log time `at`; later copies are ignored. Returns whether it may run.
     pub(crate) fn add(&mut self, intake: u64, chunk: Chunk, at: u64) -> bool {
-        if self.runs(intake) {
+        if self.is_released(intake) {
             return self.insert(chunk);
         }
         let known = self
@@ -127,17 +127,19 @@
         false
     }
 
-    /// Lets the chunks of an intake run; the first release counts. Long after, when the head's shard has forgotten
-    /// the job, it may be taken in again under the same key: that release takes the place of a finished one.
+    /// Releases the chunks of an intake. Returns whether the release took effect; only the first one does.
+    ///
+    /// Exception: a job may be submitted again under the same key after the shard of its head has expired it. Such a
+    /// release, which has a later `keep_until`, replaces a finished one.
     pub(crate) fn release(&mut self, release: work::Release) -> bool {
         if let Some(known) = &self.release {
-            let again = release.intake != known.intake && release.keep_until > known.keep_until;
-            if !again || !self.finished() {
+            let resubmitted = release.intake != known.intake && release.keep_until > known.keep_until;
+            if !resubmitted || !self.finished() {
                 return false;
             }
             *self = Self {
                 waiting: std::mem::take(&mut self.waiting),
-                touched: self.touched,
+                updated_at: self.updated_at,
                 ..Self::default()
             };
         }
@@ -152,8 +154,8 @@
         true
     }
 
-    /// Ends an item; `true` if this completion counts.
-    pub(crate) fn end(
+    /// Ends an item. Returns whether this completion took effect.
+    pub(crate) fn end_item(
         &mut self,
         chunk: id::Chunk,
         completion: &work::Completion,
@@ -165,20 +167,20 @@
         let Ok(index) = self.find(chunk) else {
             return false;
         };
-        if !self.chunks[index].end(completion.item, offset) {
+        if !self.chunks[index].end_item(completion.item, offset) {
             return false;
         }
         match completion.outcome {
             work::Outcome::Answer(_) => self.answered = self.answered.saturating_add(1),
             work::Outcome::Failed { .. } => self.failed = self.failed.saturating_add(1),
         }
-        self.advance();
+        self.advance_first_pending();
         true
     }
 
-    /// The chunk that a carried copy speaks of.
-    pub(crate) fn carried(&mut self, intake: u64, chunk: id::Chunk) -> Option<&mut Chunk> {
-        if self.runs(intake) {
+    /// Returns the chunk that a carried or moved record refers to.
+    pub(crate) fn chunk_of_intake(&mut self, intake: u64, chunk: id::Chunk) -> Option<&mut Chunk> {
+        if self.is_released(intake) {
             let index = self.find(chunk).ok()?;
             return self.chunks.get_mut(index);
         }
@@ -188,12 +190,12 @@
             .map(|waiting| &mut waiting.chunk)
     }
 
-    /// Forgets chunks that have waited for their release since before log time `since`.
-    pub(crate) fn forget_waiting(&mut self, since: u64) {
+    /// Removes chunks that have waited for their release since before log time `since`.
+    pub(crate) fn remove_stale_waiting(&mut self, since: u64) {
         self.waiting.retain(|waiting| waiting.at >= since);
     }
 
-    /// The intake that runs; 0 before the release.
+    /// The released intake, or 0 before the release.
     pub(crate) fn intake(&self) -> u64 {
         self.release.as_ref().map_or(0, |release| release.intake)
     }
@@ -202,32 +204,32 @@
         &self.waiting
     }
 
-    fn runs(&self, intake: u64) -> bool {
+    fn is_released(&self, intake: u64) -> bool {
         self.release
             .as_ref()
             .is_some_and(|release| release.intake == intake)
     }
 
-    fn open(&self) -> id::Item {
-        // The count of items stops at its largest number.
+    fn open_items(&self) -> id::Item {
+        // All counts saturate, so `ended` may exceed `items`.
         let ended = self.answered.saturating_add(self.failed);
         self.items.saturating_sub(ended)
     }
 
-    /// Whether a decoded value is one that the fold could have made.
-    pub(crate) fn sound(&self) -> bool {
-        let sound = self.chunks.iter().all(Chunk::sound);
-        let waiting = self.waiting.iter().all(|waiting| waiting.chunk.sound());
+    /// Returns whether a decoded value is one that the fold can produce.
+    pub(crate) fn is_consistent(&self) -> bool {
+        let chunks = self.chunks.iter().all(Chunk::is_consistent);
+        let waiting = self.waiting.iter().all(|waiting| waiting.chunk.is_consistent());
         let ascending = self.chunks.is_sorted_by(|a, b| a.chunk < b.chunk);
         let counted = self
             .chunks
             .iter()
             .fold(0, |sum: id::Item, chunk| sum.saturating_add(chunk.items()));
         let ended = self.answered.checked_add(self.failed);
-        sound
+        chunks
             && waiting
             && ascending
-            && self.low <= self.chunks.len()
+            && self.first_pending <= self.chunks.len()
             && counted == self.items
             && ended.is_some_and(|ended| ended <= self.items)
     }
@@ -237,19 +239,19 @@
             return false;
         };
         self.items = self.items.saturating_add(chunk.items());
-        self.low = self.low.min(index);
+        self.first_pending = self.first_pending.min(index);
         self.chunks.insert(index, chunk);
-        self.advance();
+        self.advance_first_pending();
         true
     }
 
-    fn advance(&mut self) {
+    fn advance_first_pending(&mut self) {
         while self
             .chunks
-            .get(self.low)
+            .get(self.first_pending)
             .is_some_and(|chunk| chunk.pending() == 0)
         {
-            self.low += 1;
+            self.first_pending += 1;
         }
     }
 
--- a/crates/tinbank-ledger/src/lease/contender.rs
+++ b/crates/tinbank-ledger/src/lease/contender.rs
@@ -1,4 +1,4 @@
-//! When to take, renew and give back a lease. Pure: `now` is passed in.
+//! Decides when to take, renew and release a lease. Pure: `now` is passed in.
 
 use std::time::{Duration, Instant};
 
@@ -9,25 +9,25 @@
 
 use super::Lease;
 
-/// Times that a lease is held by; the same on all hosts of a deployment.
+/// Timing of leases. Must be the same on all hosts of a deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timings {
-    /// Silence after which the first in rank may take another's lease.
+    /// Time without a record of the holder after which the process with rank 0 may take the lease.
     pub silence: Duration,
-    /// How much longer each next in rank waits.
+    /// Additional wait for each further rank.
     pub stagger: Duration,
-    /// Reads at the tail that are further apart than this do not add up to silence.
+    /// Longest time between two reads of the tail for the time between them to count as silence.
     pub gap: Duration,
-    /// A holder that appended nothing for so long renews.
+    /// Time without a record of its own after which the holder renews.
     pub renew: Duration,
-    /// A step whose record has not been read back after so long is given again.
+    /// Time after which a record that was not read back is appended again.
     pub retry: Duration,
-    /// A holder without live work for so long gives the lease back.
+    /// Time without live work after which the holder releases the lease.
     pub idle: Duration,
-    /// A holder that has not been first in rank for so long hands the lease over.
+    /// Time without rank 0 after which the holder releases the lease to the process that has it.
     pub hand_over: Duration,
-    /// A holder that has not been at the tail for so long goes by a fold that is too old: it renews no more, and gives
-    /// the lease back if the log goes on taking its appends. Well below `silence`, and longer than a read waits.
+    /// Age of the last read of the tail after which the fold is stale. The holder then stops renewing, and releases the
+    /// lease if the log still accepts its appends. Must be well below `silence`, and longer than a read may wait.
     pub stale: Duration,
 }
 
@@ -46,124 +46,124 @@
     }
 }
 
-/// What the process wants of the lease.
+/// Local state that decides whether the process should hold the lease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Want {
-    /// Our place in the rendezvous rank of live processes for this shard, from 0; `None`: not among those that may own it.
+    /// Rank of this process for the shard in rendezvous hashing over the live processes, from 0. `None` if it may not
+    /// own the shard.
     pub rank: Option<u32>,
     /// Whether the shard has live work ([`crate::shard::Shard::live`], or records about to be appended).
     pub live: bool,
     /// Whether the process is stopping.
     pub stopping: bool,
-    /// Items of the shard that are in flight here.
+    /// Number of items of the shard that this process has in flight.
     pub in_flight: usize,
 }
 
-/// What to do now.
+/// Action to take now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing.
+    /// Do nothing: the lease is not held.
     Wait,
-    /// We hold the lease; go on.
+    /// The lease is held: continue.
     Hold,
-    /// We hold the lease and are about to give it back: start no more items.
+    /// The lease is held and will be released: start no more items.
     Drain,
     /// Append this record.
     Append(record::Lease),
 }
 
-/// One process's part in the life of a shard's lease.
+/// Takes, renews and releases a shard's lease on behalf of one process.
 #[derive(Clone, Debug)]
 pub struct Contender {
     me: Writer,
-    terms: Timings,
-    seen: Option<id::Offset>,
-    /// When the lease's last record changed, as read here.
-    changed: Option<Instant>,
-    /// Since when the reads reached the tail and showed no record of the holder.
-    quiet: Option<Instant>,
-    /// The last read that reached the tail.
+    timings: Timings,
+    /// [`Lease::last`] at the last observed read.
+    last_seen: Option<id::Offset>,
+    /// When `last_seen` changed, by the local clock.
+    changed_at: Option<Instant>,
+    /// Start of the period in which every read reached the tail and found no record of the holder.
+    silent_since: Option<Instant>,
+    /// Last read, if it reached the tail.
     at_tail: Option<Instant>,
-    /// The last read that reached the tail, also when later ones failed.
-    current: Option<Instant>,
-    /// When an append of ours was last acknowledged.
-    appended: Option<Instant>,
-    /// Since when we have been seen to be deaf.
-    deaf: Option<Instant>,
-    /// A step given at that place is not given again before then.
+    /// Last read that reached the tail, even if later ones did not.
+    current_at: Option<Instant>,
+    /// When the log last acknowledged an append of this process.
+    appended_at: Option<Instant>,
+    read_stalled_since: Option<Instant>,
+    /// [`Lease::last`] when a record was last appended, and when the append may be repeated if `last` is unchanged.
     retry: Option<(Option<id::Offset>, Instant)>,
-    idle: Option<Instant>,
-    passed_over: Option<Instant>,
+    idle_since: Option<Instant>,
+    outranked_since: Option<Instant>,
 }
 
 impl Contender {
-    /// A contender that has read nothing yet.
-    pub fn new(me: Writer, terms: Timings) -> Self {
+    pub fn new(me: Writer, timings: Timings) -> Self {
         Self {
             me,
-            terms,
-            seen: None,
-            changed: None,
-            quiet: None,
+            timings,
+            last_seen: None,
+            changed_at: None,
+            silent_since: None,
             at_tail: None,
-            current: None,
-            appended: None,
-            deaf: None,
+            current_at: None,
+            appended_at: None,
+            read_stalled_since: None,
             retry: None,
-            idle: None,
-            passed_over: None,
+            idle_since: None,
+            outranked_since: None,
         }
     }
 
-    /// Takes in the end of a read, after its records went through the fold: whether it reached the tail. A failed
-    /// read, or one that more records follow, has `at_tail: false`.
+    /// Records the end of a read, after its records were folded. `at_tail` is `false` for a failed read and for one that
+    /// more records follow.
     ///
-    /// Silence is only counted from one read at the tail to the next: during an outage nobody can renew, so
-    /// nobody expires.
+    /// Only the time between two reads of the tail counts as silence: during an outage of the log no holder can renew,
+    /// so no lease may expire.
     pub fn observe_tail(&mut self, lease: &Lease, at_tail: bool, now: Instant) {
-        let news = lease.last != self.seen || self.changed.is_none();
-        if news {
-            self.seen = lease.last;
-            self.changed = Some(now);
+        let changed = lease.last != self.last_seen || self.changed_at.is_none();
+        if changed {
+            self.last_seen = lease.last;
+            self.changed_at = Some(now);
         }
         if !at_tail {
             self.at_tail = None;
-            self.quiet = None;
+            self.silent_since = None;
             return;
         }
-        let joined = self
+        let contiguous = self
             .at_tail
-            .is_some_and(|before| now.saturating_duration_since(before) <= self.terms.gap);
-        if news || !joined || self.quiet.is_none() {
-            self.quiet = Some(now);
+            .is_some_and(|before| now.saturating_duration_since(before) <= self.timings.gap);
+        if changed || !contiguous || self.silent_since.is_none() {
+            self.silent_since = Some(now);
         }
         self.at_tail = Some(now);
-        self.current = Some(now);
+        self.current_at = Some(now);
     }
 
-    /// Takes in that the log acknowledged an append of ours to the shard.
+    /// Records that the log acknowledged an append of this process to the shard.
     pub fn observe_append(&mut self, now: Instant) {
-        self.appended = Some(now);
+        self.appended_at = Some(now);
     }
 
-    /// Whether the last read at the tail is too long ago to go by the fold.
+    /// Returns whether the last read of the tail is too long ago to rely on the fold.
     pub fn is_stale(&self, now: Instant) -> bool {
-        self.current
-            .is_some_and(|current| now.saturating_duration_since(current) > self.terms.stale)
+        self.current_at
+            .is_some_and(|current| now.saturating_duration_since(current) > self.timings.stale)
     }
 
-    /// Whether the fold is stale although the log takes appends: then others may read it, and one of them should have
-    /// the lease. In an outage for all this is not so, since no append is acknowledged.
+    /// Returns whether the fold is stale although the log accepts appends. Other processes may then be able to read the
+    /// log, and one of them should hold the lease. In an outage of the log no append is acknowledged.
     pub fn is_read_stalled(&self, now: Instant) -> bool {
-        let (Some(current), Some(appended)) = (self.current, self.appended) else {
+        let (Some(current), Some(appended)) = (self.current_at, self.appended_at) else {
             return false;
         };
-        // What was acknowledged soon after the last read at the tail may only be on its way back.
-        let proof = appended.saturating_duration_since(current) > self.terms.stale / 2;
-        proof && self.is_stale(now)
+        // An append acknowledged soon after the last read of the tail may not have had time to be read back.
+        let appends_succeed = appended.saturating_duration_since(current) > self.timings.stale / 2;
+        appends_succeed && self.is_stale(now)
     }
 
-    /// What to do now.
+    /// Returns the action to take now.
     pub fn step(&mut self, lease: &Lease, want: Want, now: Instant) -> Step {
         match lease.term(self.me) {
             Some(epoch) => self.hold(lease, epoch, want, now),
@@ -172,22 +172,22 @@
     }
 
     fn hold(&mut self, lease: &Lease, epoch: id::Epoch, want: Want, now: Instant) -> Step {
-        // A contender that began while we held the lease has the same time as others to come to the tail.
-        self.current.get_or_insert(now);
+        // A contender created while the process holds the lease gets the full `stale` time to reach the tail.
+        self.current_at.get_or_insert(now);
         let stalled_now = self.is_read_stalled(now);
-        let deaf = for_long(&mut self.deaf, stalled_now, self.terms.stale / 4, now);
-        if self.is_stale(now) && !deaf {
+        let stalled = has_lasted(&mut self.read_stalled_since, stalled_now, self.timings.stale / 4, now);
+        if self.is_stale(now) && !stalled {
             return Step::Hold;
         }
-        if deaf {
-            return self.hold_deaf(lease, epoch, want, now);
+        if stalled {
+            return self.hold_read_stalled(lease, epoch, want, now);
         }
-        let idle = for_long(&mut self.idle, !want.live, self.terms.idle, now);
-        let passed_over = want.rank.is_some_and(|rank| rank > 0);
-        let hand_over = for_long(
-            &mut self.passed_over,
-            passed_over,
-            self.terms.hand_over,
+        let idle = has_lasted(&mut self.idle_since, !want.live, self.timings.idle, now);
+        let outranked = want.rank.is_some_and(|rank| rank > 0);
+        let hand_over = has_lasted(
+            &mut self.outranked_since,
+            outranked,
+            self.timings.hand_over,
             now,
         );
         if idle || want.stopping || hand_over {
@@ -200,8 +200,8 @@
         self.renew(lease, epoch, now).unwrap_or(Step::Hold)
     }
 
-    /// Waiting for silence would not do where appends still work, since any envelope of ours renews.
-    fn hold_deaf(&mut self, lease: &Lease, epoch: id::Epoch, want: Want, now: Instant) -> Step {
+    /// Releases the lease explicitly: it would not expire, since any acknowledged append of the holder renews it.
+    fn hold_read_stalled(&mut self, lease: &Lease, epoch: id::Epoch, want: Want, now: Instant) -> Step {
         if want.in_flight > 0 {
             return Step::Drain;
         }
@@ -210,16 +210,16 @@
     }
 
     fn renew(&mut self, lease: &Lease, epoch: id::Epoch, now: Instant) -> Option<Step> {
-        let changed = *self.changed.get_or_insert(now);
-        if now.saturating_duration_since(changed) < self.terms.renew {
+        let changed_at = *self.changed_at.get_or_insert(now);
+        if now.saturating_duration_since(changed_at) < self.timings.renew {
             return None;
         }
         self.append(lease, record::Lease::Renew { epoch }, now)
     }
 
     fn contend(&mut self, lease: &Lease, want: Want, now: Instant) -> Step {
-        self.idle = None;
-        self.passed_over = None;
+        self.idle_since = None;
+        self.outranked_since = None;
         let Some(rank) = want.rank else {
             return Step::Wait;
         };
@@ -236,38 +236,43 @@
     fn may_take(&self, lease: &Lease, rank: u32, now: Instant) -> bool {
         let fresh = self
             .at_tail
-            .is_some_and(|at| now.saturating_duration_since(at) <= self.terms.gap);
-        // The records of a page were folded but its end was not observed yet.
-        let observed = lease.last == self.seen;
-        let Some(quiet) = self.quiet.filter(|_| fresh && observed) else {
+            .is_some_and(|at| now.saturating_duration_since(at) <= self.timings.gap);
+        // Differs while the records of a page are folded and `observe_tail` was not called for it yet.
+        let observed = lease.last == self.last_seen;
+        let Some(silent_since) = self.silent_since.filter(|_| fresh && observed) else {
             return false;
         };
-        let held = match lease.holder {
-            Some(_) => self.terms.silence,
+        let expiry = match lease.holder {
+            Some(_) => self.timings.silence,
             None => Duration::ZERO,
         };
-        let wait = held + self.terms.stagger * rank;
-        now.saturating_duration_since(quiet) >= wait
+        let wait = expiry + self.timings.stagger * rank;
+        now.saturating_duration_since(silent_since) >= wait
     }
 
     fn append(&mut self, lease: &Lease, record: record::Lease, now: Instant) -> Option<Step> {
-        if let Some((place, until)) = self.retry
-            && place == lease.last
+        if let Some((last, until)) = self.retry
+            && last == lease.last
             && now < until
         {
             return None;
         }
-        self.retry = Some((lease.last, now + self.terms.retry));
+        self.retry = Some((lease.last, now + self.timings.retry));
         Some(Step::Append(record))
     }
 }
 
-/// Whether `is` has held for `long`; `since` remembers from when on.
-fn for_long(since: &mut Option<Instant>, is: bool, long: Duration, now: Instant) -> bool {
-    if !is {
+/// Returns whether `condition` has been true for at least `duration`. `since` stores when it became true.
+fn has_lasted(
+    since: &mut Option<Instant>,
+    condition: bool,
+    duration: Duration,
+    now: Instant,
+) -> bool {
+    if !condition {
         *since = None;
         return false;
     }
     let since = *since.get_or_insert(now);
-    now.saturating_duration_since(since) >= long
+    now.saturating_duration_since(since) >= duration
 }
--- a/crates/tinbank-ledger/src/lease/mod.rs
+++ b/crates/tinbank-ledger/src/lease/mod.rs
@@ -1,6 +1,6 @@
-//! Leases of shards: what the records mean ([`Lease`]) and when to append one ([`Contender`]).
+//! Leases of shards: the state folded from lease records ([`Lease`]), and when to append one ([`Contender`]).
 //!
-//! No two clocks are compared: see `docs/design/leases.md`.
+//! Clocks of different hosts are never compared: see `docs/design/leases.md`.
 
 mod contender;
 
@@ -15,48 +15,49 @@
 /// The process that holds a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holder {
-    /// Which process and start.
+    /// Process and incarnation.
     pub writer: Writer,
     /// Its term.
     pub epoch: id::Epoch,
 }
 
-/// The fold of a shard's lease records.
+/// State of a shard's lease, folded from its records.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// Offset of the last record that counted; any envelope of the holder counts as a renewal.
+    /// Offset of the last accepted lease record or renewal. Any envelope of the holder renews the lease.
     pub last: Option<id::Offset>,
-    /// The newest term; 0 before the first.
+    /// Latest term, or 0 before the first one.
     pub epoch: id::Epoch,
-    /// Who holds the lease now.
+    /// Current holder.
     pub holder: Option<Holder>,
 }
 
-/// What a lease record changed.
+/// Change made by a lease record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A new term began.
+    /// A process took the lease and started a new term.
     Taken(Holder),
-    /// The holder gave the lease back.
+    /// The holder released the lease.
     Released(Holder),
 }
 
 impl Lease {
-    /// The term of a writer, if it holds the lease.
+    /// Returns the term of a writer if it holds the lease.
     pub fn term(&self, writer: Writer) -> Option<id::Epoch> {
         self.holder
             .filter(|holder| holder.writer == writer)
             .map(|holder| holder.epoch)
     }
 
-    /// Takes in that an envelope of `writer` stands at `offset`; called after its records.
+    /// Records an envelope of `writer` at `offset`, which renews the lease if the writer holds it. Must be called after
+    /// the records of the envelope were applied.
     pub fn record_envelope(&mut self, writer: Writer, offset: id::Offset) {
         if self.term(writer).is_some() {
             self.last = Some(offset);
         }
     }
 
-    /// Takes in a lease record.
+    /// Applies a lease record.
     pub fn apply(
         &mut self,
         offset: id::Offset,
--- a/crates/tinbank-ledger/src/lib.rs
+++ b/crates/tinbank-ledger/src/lib.rs
@@ -1,8 +1,8 @@
-//! Folds a shard of work into leases, jobs, items and claims, with pure decisions about who owns and what runs.
+//! State machine of a work shard: folds the records of its log into leases, jobs, items and claims.
 //!
-//! The driver reads a stream and gives every envelope to [`shard::Shard::apply`]. The state then says what
-//! counts, [`lease::Contender`] when to take or renew the lease, [`duty::Duties`] what the owner has to append,
-//! and [`result`] how results are read back. See `docs/design/ledger.md`.
+//! The driver reads the log and passes every envelope to [`shard::Shard::apply`]. [`lease::Contender`] decides when to
+//! take, renew or release the lease, [`duty::Duties`] which records the owner must append, and [`result`] reads results
+//! back. The crate does no I/O. See `docs/design/ledger.md`.
 
 pub mod change;
 pub mod checkpoint;
--- a/crates/tinbank-ledger/src/result.rs
+++ b/crates/tinbank-ledger/src/result.rs
@@ -1,4 +1,4 @@
-//! Reads results back: puts a chunk's items together with the completions that count.
+//! Reads results back: joins a chunk's items with their first completions.
 
 use tinbank_base::{
     frame::request::Outcome,
@@ -11,7 +11,8 @@
     shard::Carry,
 };
 
-/// The chunk that stands at a place of an envelope, or was carried to it; `None` if something else stands there.
+/// Returns the chunk in the record at `place` of its envelope, original or carried forward. `None` if the record is of
+/// another kind.
 pub fn chunk_at(envelope: &Envelope<work::Record>, place: Place) -> Option<&work::Chunk> {
     match envelope.records.get(usize::from(place.record))? {
         work::Record::Chunk(chunk) => Some(chunk),
@@ -20,9 +21,9 @@
     }
 }
 
-/// The completions that count of a chunk's items, in item order; `None` for an item that has none.
+/// Returns the first completion of each of a chunk's items, in item order. `None` for an item that has not ended.
 ///
-/// `results` are the envelopes at [`Chunk::results`], in that order.
+/// `results` are the envelopes at the offsets [`Chunk::results`], in that order.
 pub fn completions<'a>(
     job: id::Job,
     chunk: &Chunk,
@@ -30,19 +31,19 @@
 ) -> Vec<Option<work::Completion>> {
     let mut found: Vec<Option<work::Completion>> = vec![None; chunk.items() as usize];
     let records = results.into_iter().flat_map(|result| &result.records);
-    for completion in records.flat_map(|record| of_chunk(record, job, chunk.chunk)) {
+    for completion in records.flat_map(|record| completions_of_chunk(record, job, chunk.chunk)) {
         if !chunk.ended(completion.item) {
             continue;
         }
-        let slot = &mut found[(completion.item - chunk.first) as usize];
-        if slot.is_none() {
-            *slot = Some(completion.clone());
+        let entry = &mut found[(completion.item - chunk.first) as usize];
+        if entry.is_none() {
+            *entry = Some(completion.clone());
         }
     }
     found
 }
 
-/// Results of a chunk's items as other processes ask for them.
+/// Returns the results of a chunk's items, as sent in responses to other processes.
 pub fn outcomes<'a>(
     body: &work::Chunk,
     chunk: &Chunk,
@@ -58,10 +59,11 @@
         .collect()
 }
 
-/// The record that carries a chunk forward. `through` is the last offset of the fold that `carry` was asked of.
+/// Returns the record that carries a chunk forward. `through` is the last folded offset of the shard that returned
+/// `carry`.
 ///
-/// Items that are not to be run any more keep their name only. Without `results` the record moves the bodies alone; what
-/// holds results has then to be moved first, each by [`moved`].
+/// The bodies of items that will not run any more are left out. If `results` is empty, the record moves only the bodies:
+/// every results envelope must then be moved first, by [`moved`].
 pub fn carried<'a>(
     carry: &Carry<'_>,
     body: &work::Chunk,
@@ -89,7 +91,7 @@
     })
 }
 
-/// The record that carries forward what the envelope at `from`, one of [`Chunk::results`], holds of a chunk's completions.
+/// Returns the record that carries forward a chunk's completions in the envelope at `from`, one of [`Chunk::results`].
 pub fn moved(
     carry: &Carry<'_>,
     from: id::Offset,
@@ -108,7 +110,7 @@
     })
 }
 
-fn of_chunk(record: &work::Record, job: id::Job, chunk: id::Chunk) -> &[work::Completion] {
+fn completions_of_chunk(record: &work::Record, job: id::Job, chunk: id::Chunk) -> &[work::Completion] {
     match record {
         work::Record::Completed(completed) if completed.job == job && completed.chunk == chunk => {
             &completed.completions
--- a/crates/tinbank-ledger/src/retention.rs
+++ b/crates/tinbank-ledger/src/retention.rs
@@ -1,4 +1,4 @@
-//! Knows which records are old enough that the log's retention will take them before long.
+//! Finds the records that are old enough to be deleted by the log's retention soon.
 
 use std::{
     collections::VecDeque,
@@ -7,13 +7,15 @@
 
 use tinbank_base::{clock, clock::Stamp, id};
 
-/// Marks kept; beyond it the older ones are thinned out.
+/// Limit of the stored marks. When it is exceeded, every other mark is dropped.
 const MAX_MARKS: usize = 1_024;
 
-/// Joins offsets and times, as one reader saw them. Soft: it decides when to carry forward, never what counts.
+/// Maps append times to offsets, as seen by one reader.
+///
+/// Not replicated state: used to decide when to carry records forward, never which records take effect.
 #[derive(Clone, Debug)]
 pub struct OffsetTimes {
-    every: Duration,
+    interval: Duration,
     marks: VecDeque<Mark>,
     next: id::Offset,
 }
@@ -25,23 +27,23 @@
 }
 
 impl OffsetTimes {
-    /// Marks that are `every` apart.
-    pub fn new(every: Duration) -> Self {
+    /// Creates an empty map that stores a mark every `interval`.
+    pub fn new(interval: Duration) -> Self {
         Self {
-            every,
+            interval,
             marks: VecDeque::new(),
             next: 0,
         }
     }
 
-    /// Notes an envelope that was read at `now`. It is as old as its stamp says, but no younger than now.
+    /// Records an envelope that was read at `now`. A stamp in the future is taken as `now`.
     pub fn record(&mut self, offset: id::Offset, stamp: Stamp, now: SystemTime) {
         self.next = offset + 1;
         let at = stamp.micros.min(clock::micros(now));
         let due = self
             .marks
             .back()
-            .is_none_or(|mark| mark.at.saturating_add(self.every()) <= at);
+            .is_none_or(|mark| mark.at.saturating_add(self.interval_micros()) <= at);
         if due {
             self.marks.push_back(Mark { at, offset });
         }
@@ -50,25 +52,25 @@
         }
     }
 
-    /// The records before this offset were all appended before `time`, as far as is known.
+    /// Returns an offset such that all records before it were appended before `time`. 0 if none are known to be.
     pub fn offset_before(&self, time: SystemTime) -> id::Offset {
         let time = clock::micros(time);
         let older = self.marks.partition_point(|mark| mark.at <= time);
         let Some(last) = older.checked_sub(1).map(|index| self.marks[index]) else {
             return 0;
         };
-        // What follows the last mark without a mark of its own is less than one interval younger.
-        let all = older == self.marks.len() && last.at.saturating_add(self.every()) <= time;
+        // Records after the last mark are less than one interval younger than it.
+        let all = older == self.marks.len() && last.at.saturating_add(self.interval_micros()) <= time;
         if all { self.next } else { last.offset }
     }
 
-    /// Offset after the last record noted.
+    /// Offset after the last recorded envelope.
     pub fn next(&self) -> id::Offset {
         self.next
     }
 
-    fn every(&self) -> u64 {
-        self.every.as_micros() as u64
+    fn interval_micros(&self) -> u64 {
+        self.interval.as_micros() as u64
     }
 
     fn thin(&mut self) {
@@ -77,6 +79,6 @@
             keep = !keep;
             keep
         });
-        self.every *= 2;
+        self.interval *= 2;
     }
 }
--- a/crates/tinbank-ledger/src/shard/check.rs
+++ b/crates/tinbank-ledger/src/shard/check.rs
@@ -1,26 +1,26 @@
-//! Whether a state that was read from a checkpoint is one that the fold could have made.
+//! Consistency check of a state decoded from a checkpoint.
 
 use super::Shard;
 use crate::job::Work;
 
 impl Shard {
-    /// Names the first thing that the fold relies on and that does not hold; `None`: all is well.
+    /// Returns the first violated invariant that the fold relies on, or `None` if the state is consistent.
     ///
-    /// A checkpoint comes from outside: its bytes may decode and still hold numbers that no fold has made.
-    pub(crate) fn fault(&self) -> Option<&'static str> {
-        if !self.works.values().all(Work::sound) {
-            return Some("the counts of a job's chunks do not agree");
+    /// Checkpoint bytes are untrusted: they may decode to a state that no sequence of records can produce.
+    pub(crate) fn inconsistency(&self) -> Option<&'static str> {
+        if !self.works.values().all(Work::is_consistent) {
+            return Some("the item counts of a job do not match its chunks");
         }
-        if !self.claims.sound() {
-            return Some("the count of open claims does not agree");
+        if !self.claims.is_consistent() {
+            return Some("the count of open claims does not match the claims");
         }
         let epoch = self.lease.holder.map_or(0, |holder| holder.epoch);
         if epoch > self.lease.epoch {
-            return Some("the lease's holder is of a later term than the lease");
+            return Some("the term of the lease holder is later than the latest term of the lease");
         }
         let collecting = self.collecting.as_ref();
         if collecting.is_some_and(|collecting| collecting.next >= collecting.parts) {
-            return Some("a part of a checkpoint is out of range");
+            return Some("the next part of a checkpoint is out of range");
         }
         None
     }
--- a/crates/tinbank-ledger/src/shard/remembered.rs
+++ b/crates/tinbank-ledger/src/shard/dedupe_serde.rs
@@ -1,4 +1,4 @@
-//! Writes what the fold remembers of writers into a checkpoint.
+//! Serializes the deduplication state for checkpoints: the last sequence of each writer.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use tinbank_base::record::Writer;
@@ -11,7 +11,7 @@
 }
 
 pub(super) fn serialize<S: Serializer>(dedupe: &Dedupe, serializer: S) -> Result<S::Ok, S::Error> {
-    // Postcard writes the length first, which the iterator does not know.
+    // Postcard writes the length first, and the iterator does not know it.
     let seen: Vec<Seen> = dedupe
         .iter()
         .map(|(writer, sequence)| Seen { writer, sequence })
--- a/crates/tinbank-ledger/src/shard/fold.rs
+++ b/crates/tinbank-ledger/src/shard/fold.rs
@@ -1,4 +1,4 @@
-//! What each record means at its offset.
+//! Applies envelopes and their records to the state.
 
 use tinbank_base::{
     id,
@@ -12,7 +12,7 @@
 };
 
 impl Shard {
-    /// Folds the envelope at `offset`. An offset that was folded before, and a second copy of an append, change nothing.
+    /// Applies the envelope at `offset`. Offsets that were already applied and duplicate appends are ignored.
     pub fn apply(&mut self, offset: id::Offset, envelope: &Envelope<work::Record>) -> Changes {
         let mut changes = Changes::new();
         if offset < self.next {
@@ -22,19 +22,19 @@
         if !self.dedupe.admit(envelope.writer, envelope.sequence) {
             return changes;
         }
-        self.tick(envelope.writer, envelope.stamp.micros);
+        self.advance_time(envelope.writer, envelope.stamp.micros);
         for (index, record) in envelope.records.iter().enumerate() {
             let place = Place {
                 offset,
                 record: u16::try_from(index).unwrap_or(u16::MAX),
             };
-            self.record(place, envelope.writer, record, &mut changes);
+            self.apply_record(place, envelope.writer, record, &mut changes);
         }
         self.lease.record_envelope(envelope.writer, offset);
         changes
     }
 
-    /// Passes over a record that can't be decoded, so that it does not stop the stream.
+    /// Skips an envelope that can't be decoded, so that it does not block the stream.
     pub fn skip(&mut self, offset: id::Offset) {
         if offset >= self.next {
             self.next = offset.saturating_add(1);
@@ -42,7 +42,7 @@
         }
     }
 
-    fn record(
+    fn apply_record(
         &mut self,
         place: Place,
         writer: Writer,
@@ -54,32 +54,33 @@
                 let change = self.lease.apply(place.offset, writer, *lease);
                 changes.extend(change.map(Change::Lease));
             }
-            work::Record::Chunk(chunk) => self.chunk(place, chunk, changes),
-            work::Record::Head(head) => self.head(head, changes),
-            work::Record::Release(release) => self.release(release, changes),
-            work::Record::Cancel { job } => self.cancel(*job, changes),
-            work::Record::Dispatch(dispatch) => self.dispatch(writer, dispatch, changes),
-            work::Record::Completed(completed) => self.completed(place.offset, completed, changes),
-            work::Record::Part(part) => self.part(part, changes),
+            work::Record::Chunk(chunk) => self.apply_chunk(place, chunk, changes),
+            work::Record::Head(head) => self.apply_head(head, changes),
+            work::Record::Release(release) => self.apply_release(release, changes),
+            work::Record::Cancel { job } => self.apply_cancel(*job, changes),
+            work::Record::Dispatch(dispatch) => self.apply_dispatch(writer, dispatch, changes),
+            work::Record::Completed(completed) => self.apply_completed(place.offset, completed, changes),
+            work::Record::Part(part) => self.apply_part(part, changes),
             work::Record::Claim(claim) => {
-                if self.claims.claim(claim) {
+                if self.claims.apply_claim(claim) {
                     changes.push(Change::Claimed(claim.key));
                 }
             }
             work::Record::Settled(settled) => {
-                if self.claims.settle(settled) {
+                if self.claims.apply_settled(settled) {
                     changes.push(Change::Settled(settled.key));
                 }
             }
-            work::Record::Checkpoint(part) => self.checkpoint_part(place.offset, writer, part),
-            work::Record::Carried(carried) => self.carried(place, carried, changes),
-            work::Record::Moved(moved) => self.moved(place, moved, changes),
+            work::Record::Checkpoint(part) => self.apply_checkpoint(place.offset, writer, part),
+            work::Record::Carried(carried) => self.apply_carried(place, carried, changes),
+            work::Record::Moved(moved) => self.apply_moved(place, moved, changes),
         }
     }
 
-    /// Notes complete checkpoints: parts in order, from one writer. A checkpoint stands behind what it holds: one that
-    /// claims more would keep all later ones from being written.
-    pub(super) fn checkpoint_part(
+    /// Records a checkpoint once all its parts were read in order from one writer.
+    ///
+    /// A part that claims to cover its own or later offsets is ignored: it would keep valid checkpoints from being written.
+    pub(super) fn apply_checkpoint(
         &mut self,
         offset: id::Offset,
         writer: Writer,
--- a/crates/tinbank-ledger/src/shard/items.rs
+++ b/crates/tinbank-ledger/src/shard/items.rs
@@ -1,4 +1,4 @@
-//! Records about items: dispatches, completions, and chunks carried forward.
+//! Applies records about items: dispatches, completions, and chunks carried forward.
 
 use smallvec::SmallVec;
 use tinbank_base::{
@@ -13,9 +13,9 @@
 };
 
 impl Shard {
-    /// Only the holder of the lease may dispatch, and an item only once: whoever reads its dispatch back here knows
-    /// that nobody else has sent it or ever will.
-    pub(super) fn dispatch(
+    /// Accepts only dispatches by the holder of the lease, and only the first one of each item. An owner that reads its
+    /// dispatch back as accepted knows that no other process has sent or will send the item.
+    pub(super) fn apply_dispatch(
         &mut self,
         writer: Writer,
         dispatch: &work::Dispatch,
@@ -53,7 +53,7 @@
         }
     }
 
-    pub(super) fn completed(
+    pub(super) fn apply_completed(
         &mut self,
         offset: id::Offset,
         completed: &work::Completed,
@@ -65,7 +65,7 @@
         };
         let mut items = SmallVec::new();
         for completion in &completed.completions {
-            if !work.end(completed.chunk, completion, offset) {
+            if !work.end_item(completed.chunk, completion, offset) {
                 continue;
             }
             items.push(completion.item);
@@ -85,19 +85,19 @@
         self.check_finished(job, changes);
     }
 
-    pub(super) fn carried(&mut self, place: Place, carried: &work::Carried, changes: &mut Changes) {
+    pub(super) fn apply_carried(&mut self, place: Place, carried: &work::Carried, changes: &mut Changes) {
         let (job, number) = (carried.chunk.job, carried.chunk.chunk);
         let work = self.works.get_mut(&job);
-        let chunk = work.and_then(|work| work.carried(carried.chunk.intake, number));
+        let chunk = work.and_then(|work| work.chunk_of_intake(carried.chunk.intake, number));
         if chunk.is_some_and(|chunk| chunk.carry(place, carried.through)) {
             changes.push(Change::Carried { job, chunk: number });
         }
     }
 
-    pub(super) fn moved(&mut self, place: Place, moved: &work::Moved, changes: &mut Changes) {
+    pub(super) fn apply_moved(&mut self, place: Place, moved: &work::Moved, changes: &mut Changes) {
         let (job, number) = (moved.completed.job, moved.completed.chunk);
         let work = self.works.get_mut(&job);
-        let chunk = work.and_then(|work| work.carried(moved.intake, number));
+        let chunk = work.and_then(|work| work.chunk_of_intake(moved.intake, number));
         if chunk.is_some_and(|chunk| chunk.move_results(moved.from, place.offset)) {
             changes.push(Change::Carried { job, chunk: number });
         }
--- a/crates/tinbank-ledger/src/shard/jobs.rs
+++ b/crates/tinbank-ledger/src/shard/jobs.rs
@@ -1,4 +1,4 @@
-//! Records about whole jobs: heads, chunks, releases, cancels and parts.
+//! Applies records about whole jobs: heads, chunks, releases, cancels and parts.
 
 use tinbank_base::{clock, id, record::work};
 
@@ -11,20 +11,20 @@
 };
 
 impl Shard {
-    pub(super) fn chunk(&mut self, place: Place, chunk: &work::Chunk, changes: &mut Changes) {
+    pub(super) fn apply_chunk(&mut self, place: Place, chunk: &work::Chunk, changes: &mut Changes) {
         let Some(summary) = Chunk::new(place, chunk) else {
             return;
         };
         let time = self.time();
         let work = self.works.entry(chunk.job).or_default();
-        work.touched = time;
+        work.updated_at = time;
         if work.add(chunk.intake, summary, time) {
-            self.index(chunk.job);
+            self.index_ready(chunk.job);
             self.check_finished(chunk.job, changes);
         }
     }
 
-    pub(super) fn head(&mut self, head: &work::Head, changes: &mut Changes) {
+    pub(super) fn apply_head(&mut self, head: &work::Head, changes: &mut Changes) {
         if self.jobs.contains_key(&head.job) || clock::micros(head.keep_until) < self.time() {
             return;
         }
@@ -43,24 +43,24 @@
         }
     }
 
-    pub(super) fn release(&mut self, release: &work::Release, changes: &mut Changes) {
+    pub(super) fn apply_release(&mut self, release: &work::Release, changes: &mut Changes) {
         if clock::micros(release.keep_until) < self.time() {
             return;
         }
         let time = self.time();
         let work = self.works.entry(release.job).or_default();
-        work.touched = time;
+        work.updated_at = time;
         if !work.release(release.clone()) {
             return;
         }
         self.live_works.insert(release.job);
-        self.index(release.job);
+        self.index_ready(release.job);
         changes.push(Change::Released(release.job));
         self.check_finished(release.job, changes);
     }
 
-    pub(super) fn cancel(&mut self, job: id::Job, changes: &mut Changes) {
-        let ours = placement::shard_of_job(job, self.shards) == self.shard;
+    pub(super) fn apply_cancel(&mut self, job: id::Job, changes: &mut Changes) {
+        let holds_head = placement::shard_of_job(job, self.shards) == self.shard;
         let mut cancelled = false;
         match self.jobs.get_mut(&job) {
             Some(known) if known.cancelled || known.finished() => {}
@@ -68,48 +68,48 @@
                 known.cancelled = true;
                 cancelled = true;
             }
-            // Nothing was accepted, so there is nothing to cancel.
-            None if ours => return,
+            // The job was not accepted.
+            None if holds_head => return,
             None => {}
         }
-        cancelled |= self.cancel_work(job, ours);
+        cancelled |= self.cancel_work(job, holds_head);
         if cancelled {
             changes.push(Change::Cancelled(job));
             self.check_finished(job, changes);
         }
     }
 
-    /// Cancels a job's items here. In another shard than the head's a cancel may come before the release.
-    fn cancel_work(&mut self, job: id::Job, ours: bool) -> bool {
-        if ours && !self.works.contains_key(&job) {
+    /// Cancels a job's items in this shard. In shards that do not hold the job's head, a cancel may precede the release.
+    fn cancel_work(&mut self, job: id::Job, holds_head: bool) -> bool {
+        if holds_head && !self.works.contains_key(&job) {
             return false;
         }
         let time = self.time();
         let work = self.works.entry(job).or_default();
-        work.touched = time;
+        work.updated_at = time;
         if work.cancelled || work.finished() {
             return false;
         }
         work.cancelled = true;
-        self.unindex(job);
+        self.unindex_ready(job);
         self.dispatches.retain(|key, _| key.job != job);
         true
     }
 
-    pub(super) fn part(&mut self, part: &work::Part, changes: &mut Changes) {
+    pub(super) fn apply_part(&mut self, part: &work::Part, changes: &mut Changes) {
         if part.shard == self.shard
             && let Some(work) = self.works.get_mut(&part.job)
             && work.intake() == part.intake
             && work.finished()
         {
-            work.told = true;
+            work.reported = true;
             self.live_works.remove(&part.job);
         }
         let Some(job) = self.jobs.get_mut(&part.job) else {
             return;
         };
-        let ours = job.head.intake == part.intake && job.head.shards.contains(&part.shard);
-        if !ours || job.has_part(part.shard) {
+        let expected = job.head.intake == part.intake && job.head.shards.contains(&part.shard);
+        if !expected || job.has_part(part.shard) {
             return;
         }
         job.parts.push(part.clone());
@@ -131,11 +131,11 @@
             return;
         }
         work.ended = true;
-        self.unindex(job);
+        self.unindex_ready(job);
         changes.push(Change::Finished(job));
     }
 
-    fn index(&mut self, job: id::Job) {
+    fn index_ready(&mut self, job: id::Job) {
         let Some(work) = self.works.get(&job).filter(|work| work.runnable()) else {
             return;
         };
@@ -152,7 +152,7 @@
         }
     }
 
-    fn unindex(&mut self, job: id::Job) {
+    fn unindex_ready(&mut self, job: id::Job) {
         let work = self.works.get(&job);
         let Some(release) = work.and_then(|work: &Work| work.release.as_ref()) else {
             return;
--- a/crates/tinbank-ledger/src/shard/mod.rs
+++ b/crates/tinbank-ledger/src/shard/mod.rs
@@ -1,15 +1,15 @@
-//! The fold of one work shard: all that its records mean, in offset order. No I/O and no clock.
+//! State of one work shard, folded from its records in offset order. Uses no I/O and no clock.
 //!
-//! Two processes that have folded the same records hold equal states, whatever they are and
-//! whenever they read. See `docs/design/ledger.md` for which record counts when two say different things.
+//! Deterministic: two processes that have folded the same records hold equal states. See `docs/design/ledger.md` for
+//! which of two conflicting records takes effect.
 
 mod check;
+mod dedupe_serde;
+mod expiry;
 mod fold;
-mod forget;
 mod items;
 mod jobs;
 mod query;
-mod remembered;
 mod time;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -28,18 +28,18 @@
 
 pub use query::{Carry, Item, Ready, Sending};
 
-/// State of a shard after all records before [`Shard::next`].
+/// State of a shard after all records before offset [`Shard::next`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Shard {
     shard: id::Shard,
     shards: u16,
     next: id::Offset,
     time: Time,
-    /// Log time when the fold last looked for what to forget.
-    forgotten: u64,
+    /// Log time of the last search for expired state.
+    last_expiry: u64,
     checkpoint: Option<Checkpointed>,
     collecting: Option<Collecting>,
-    #[serde(with = "remembered")]
+    #[serde(with = "dedupe_serde")]
     dedupe: Dedupe,
     lease: Lease,
     jobs: BTreeMap<id::Job, Job>,
@@ -52,30 +52,30 @@
     skipped: u64,
 }
 
-/// An item of any job.
+/// Identifies an item of any job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Key {
-    /// Which job.
+    /// Job id.
     pub job: id::Job,
-    /// Which item of it.
+    /// Item number in the job.
     pub item: id::Item,
 }
 
-/// An item that may have been sent and may not be sent again, and has not ended.
+/// Dispatch of an item that must not be sent twice, until the item ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Dispatch {
-    /// The item's chunk.
+    /// Chunk of the item.
     pub chunk: id::Chunk,
-    /// The term of the owner that alone may send it.
+    /// Term of the owner that may send it.
     pub epoch: id::Epoch,
 }
 
 /// The newest complete checkpoint in the stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Checkpointed {
-    /// The state up to and including this offset is in it.
+    /// Last offset that the checkpoint covers.
     pub through: id::Offset,
-    /// Where its first part stands.
+    /// Offset of its first part.
     pub offset: id::Offset,
 }
 
@@ -84,7 +84,7 @@
     writer: tinbank_base::record::Writer,
     through: id::Offset,
     parts: u32,
-    /// The part that is to come next.
+    /// Number of the next expected part.
     next: u32,
     offset: id::Offset,
 }
@@ -96,7 +96,7 @@
 }
 
 impl Shard {
-    /// The state before the first record of a stream. `shards` is the number of shards of the deployment.
+    /// Creates the state before the first record of a stream. `shards` is the number of shards of the deployment.
     pub fn new(shard: id::Shard, shards: u16) -> Self {
         Self {
             shard,
@@ -105,8 +105,10 @@
         }
     }
 
-    /// The state before the first record that is left of a stream whose older records are gone without any
-    /// checkpoint, which only happens when no process lived to write one for the whole retention.
+    /// Creates an empty state that starts at offset `first`, the oldest remaining record of the stream.
+    ///
+    /// For a stream whose older records were deleted without a checkpoint, since no process ran during the whole
+    /// retention period.
     pub fn starting_at(shard: id::Shard, shards: u16, first: id::Offset) -> Self {
         Self {
             next: first,
@@ -114,12 +116,12 @@
         }
     }
 
-    /// Number of the shard.
+    /// Number of this shard.
     pub fn number(&self) -> id::Shard {
         self.shard
     }
 
-    /// How many shards there are.
+    /// Number of shards of the deployment.
     pub fn shards(&self) -> u16 {
         self.shards
     }
@@ -129,32 +131,33 @@
         self.next
     }
 
-    /// Log time in microseconds since 1970: equal for all readers, and no later than two processes say it is.
+    /// Log time in microseconds since 1970, equal for all readers. Can't be advanced by the clock of a single process
+    /// once two have written.
     pub fn time(&self) -> u64 {
         self.time.micros()
     }
 
-    /// The lease.
+    /// Lease of the shard.
     pub fn lease(&self) -> &Lease {
         &self.lease
     }
 
-    /// The claims of online requests.
+    /// Claims of online requests.
     pub fn claims(&self) -> &Claims {
         &self.claims
     }
 
-    /// What the log says of a claim; `None`: the key is free.
+    /// Returns the state of a claim, or `None` if the key is free.
     pub fn claim_status(&self, claim: &Claim) -> Option<tinbank_base::frame::request::Claimed> {
         self.claims.status(claim)
     }
 
-    /// How many records could not be decoded.
+    /// Number of envelopes that could not be decoded.
     pub fn skipped(&self) -> u64 {
         self.skipped
     }
 
-    /// Whether anything here waits for an owner: items, parts, claims.
+    /// Returns whether the shard has unfinished jobs, items or claims, which need an owner.
     pub fn live(&self) -> bool {
         !self.live_jobs.is_empty()
             || !self.live_works.is_empty()
@@ -162,7 +165,7 @@
             || self.claims.live()
     }
 
-    /// The newest complete checkpoint.
+    /// Newest complete checkpoint in the stream.
     pub fn checkpoint(&self) -> Option<Checkpointed> {
         self.checkpoint
     }
--- a/crates/tinbank-ledger/src/shard/query.rs
+++ b/crates/tinbank-ledger/src/shard/query.rs
@@ -1,4 +1,4 @@
-//! What the driver asks of a shard's state.
+//! Queries of a shard's state by the driver.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -16,31 +16,31 @@
 /// A chunk with items to run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Ready<'a> {
-    /// Which job.
+    /// Job id.
     pub job: id::Job,
-    /// Which service runs it.
+    /// Service that runs the job.
     pub service: &'a str,
-    /// When it is due.
+    /// Deadline of the job.
     pub due: SystemTime,
-    /// The chunk: where its bodies stand, which items are pending.
+    /// Summary of the chunk.
     pub chunk: &'a Chunk,
 }
 
 /// Whether an item may be sent to an upstream now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sending {
-    /// It may.
+    /// The item may be sent.
     Yes,
-    /// A dispatch record has to be appended and read back first.
+    /// A dispatch record must be appended and read back first.
     DispatchFirst,
-    /// It may have been sent in an earlier term, and may not be sent again.
+    /// The item may have been sent in an earlier term and must not be sent again.
     MaybeSent,
-    /// It has ended, or was cancelled, or is not known here.
+    /// The item has ended, was cancelled, or is unknown.
     Ended,
 }
 
 impl Shard {
-    /// A job whose head is in this shard.
+    /// Returns a job whose head is in this shard.
     pub fn job(&self, job: id::Job) -> Option<&Job> {
         self.jobs.get(&job)
     }
@@ -50,7 +50,7 @@
         self.jobs.values()
     }
 
-    /// State of a job whose head is in this shard, in the form in which other processes ask for it.
+    /// Returns the state of a job whose head is in this shard, as sent in responses to other processes.
     pub fn status(&self, job: id::Job) -> Option<Status> {
         let job = self.jobs.get(&job)?;
         Some(Status {
@@ -60,7 +60,7 @@
         })
     }
 
-    /// A job's chunks in this shard.
+    /// Returns the state of a job's chunks in this shard.
     pub fn work(&self, job: id::Job) -> Option<&Work> {
         self.works.get(&job)
     }
@@ -70,17 +70,17 @@
         self.works.iter().map(|(job, work)| (*job, work))
     }
 
-    /// Jobs whose head is in this shard and that some shard has not finished.
+    /// Jobs whose head is in this shard and that are not finished in all shards.
     pub fn live_jobs(&self) -> impl Iterator<Item = &Job> {
         self.live_jobs.iter().filter_map(|job| self.jobs.get(job))
     }
 
-    /// Jobs with chunks in this shard that are released, and whose end was not noted in the shard of their head.
+    /// Released jobs with chunks in this shard whose part was not yet reported to the shard of their head.
     pub fn live_works(&self) -> impl Iterator<Item = id::Job> + '_ {
         self.live_works.iter().copied()
     }
 
-    /// Counts of a job's items in this shard.
+    /// Returns counts of a job's items in this shard.
     pub fn count(&self, job: id::Job) -> Option<Count> {
         self.works.get(&job).map(Work::count)
     }
@@ -90,13 +90,13 @@
         self.ready.keys().map(String::as_str)
     }
 
-    /// A customer's chunks with items to run, the job that is due first in front.
+    /// Returns a customer's chunks with items to run, ordered by the deadline of their jobs.
     pub fn ready(&self, customer: &str) -> impl Iterator<Item = Ready<'_>> {
         let jobs = self.ready.get(customer).into_iter().flatten();
         jobs.flat_map(|due| self.ready_of(due.job, due.micros))
     }
 
-    /// Whether an item may be sent now by the holder of term `epoch`.
+    /// Returns whether the holder of term `epoch` may send an item now.
     pub fn sending(&self, job: id::Job, item: Item, epoch: id::Epoch) -> Sending {
         let work = self.works.get(&job).filter(|work| work.runnable());
         let chunk = work.and_then(|work| work.chunk(item.chunk));
@@ -116,15 +116,15 @@
         }
     }
 
-    /// Items that may have been sent and may not be repeated, of terms before `epoch`.
-    pub fn spent(&self, epoch: id::Epoch) -> impl Iterator<Item = (&Key, &Dispatch)> {
+    /// Returns items that may have been sent in terms before `epoch` and must not be sent again.
+    pub fn maybe_sent(&self, epoch: id::Epoch) -> impl Iterator<Item = (&Key, &Dispatch)> {
         self.dispatches
             .iter()
             .filter(move |(_, dispatch)| dispatch.epoch < epoch)
     }
 
-    /// Chunks of which a record stands before `before` and has to be carried forward: those that have items to run
-    /// or results to read, and those that wait for their release.
+    /// Returns the chunks that need a record before offset `before`, either for their bodies or for their results, and so
+    /// must be carried forward. Includes chunks that wait for their release.
     pub fn to_carry(&self, before: id::Offset) -> impl Iterator<Item = Carry<'_>> {
         self.works.iter().flat_map(move |(job, work)| {
             let running = work.chunks().iter().map(|chunk| (work.intake(), chunk));
@@ -144,8 +144,8 @@
 
     fn ready_of(&self, job: id::Job, due: u64) -> impl Iterator<Item = Ready<'_>> {
         let work = self.works.get(&job);
-        let found = work.and_then(|work| work.release.as_ref().map(|release| (work, release)));
-        found.into_iter().flat_map(move |(work, release)| {
+        let released = work.and_then(|work| work.release.as_ref().map(|release| (work, release)));
+        released.into_iter().flat_map(move |(work, release)| {
             work.pending_chunks().map(move |chunk| Ready {
                 job,
                 service: &release.service,
@@ -156,26 +156,26 @@
     }
 }
 
-/// An item as the driver sees it after it has loaded its chunk.
+/// An item of a chunk that the driver has loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Item {
-    /// Its chunk.
+    /// Chunk of the item.
     pub chunk: id::Chunk,
-    /// Its number in the job.
+    /// Item number in the job.
     pub item: id::Item,
-    /// Whether it may run more than once.
+    /// Whether the item may run more than once.
     pub repeatable: bool,
 }
 
-/// A chunk to carry forward; [`crate::result::carried`] makes the record.
+/// A chunk to carry forward. [`crate::result::carried`] builds the record.
 #[derive(Clone, Copy, Debug)]
 pub struct Carry<'a> {
-    /// Which job.
+    /// Job id.
     pub job: id::Job,
-    /// Its intake.
+    /// Intake of the chunk.
     pub intake: u64,
-    /// Whether the job was cancelled: bodies are not needed any more.
+    /// Whether the job was cancelled, so that the bodies are not needed any more.
     pub cancelled: bool,
-    /// The chunk.
+    /// Summary of the chunk.
     pub chunk: &'a Chunk,
 }
--- a/crates/tinbank-ledger/src/shard/time.rs
+++ b/crates/tinbank-ledger/src/shard/time.rs
@@ -1,23 +1,22 @@
-//! The log's own time, by which the fold forgets: equal for all readers, whenever they read.
+//! Log time, by which state expires. Equal for all readers of the log.
 
 use serde::{Deserialize, Serialize};
 use tinbank_base::id;
 
-/// Time by the stamps of the envelopes.
+/// Log time, derived from the stamps of the envelopes.
 ///
-/// It is the second newest of the processes' newest stamps, so that one host whose clock is years ahead can't
-/// make every reader forget results that are still to be readable. While only one process has written, it is that
-/// one's.
+/// It is the second newest of the processes' newest stamps, so that a single host whose clock is ahead can't make all
+/// readers remove results early. While only one process has written, it is the newest stamp of that process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Time {
     micros: u64,
-    lead: Option<Lead>,
+    newest: Option<Newest>,
     /// Whether a second process has written.
-    agreed: bool,
+    has_second: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Lead {
+struct Newest {
     process: id::Process,
     micros: u64,
 }
@@ -25,26 +24,26 @@
 impl Time {
     /// Microseconds since 1970.
     pub(super) fn micros(&self) -> u64 {
-        match self.lead {
-            Some(lead) if !self.agreed => lead.micros,
+        match self.newest {
+            Some(newest) if !self.has_second => newest.micros,
             _ => self.micros,
         }
     }
 
-    /// Takes in the stamp of an envelope.
+    /// Records the stamp of an envelope.
     pub(super) fn observe(&mut self, process: id::Process, micros: u64) {
-        let Some(lead) = &mut self.lead else {
-            self.lead = Some(Lead { process, micros });
+        let Some(newest) = &mut self.newest else {
+            self.newest = Some(Newest { process, micros });
             return;
         };
-        if lead.process == process {
-            lead.micros = lead.micros.max(micros);
+        if newest.process == process {
+            newest.micros = newest.micros.max(micros);
             return;
         }
-        self.agreed = true;
-        let second = lead.micros.min(micros);
-        if micros > lead.micros {
-            *lead = Lead { process, micros };
+        self.has_second = true;
+        let second = newest.micros.min(micros);
+        if micros > newest.micros {
+            *newest = Newest { process, micros };
         }
         self.micros = self.micros.max(second);
     }
--- a/crates/tinbank-ledger/src/suspect.rs
+++ b/crates/tinbank-ledger/src/suspect.rs
@@ -1,15 +1,15 @@
-//! Items that are suspected of killing engines. Soft: an owner's own memory of a term.
+//! Items suspected of crashing engines. Local to an owner and kept for one term only.
 
 use std::collections::BTreeMap;
 
 use crate::shard::Key;
 
-/// Bounds of suspicion.
+/// Limits of engine crashes per item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Policy {
-    /// Deaths of engines with the item in flight after which it is only sent alone.
+    /// Number of engine crashes with the item in flight after which it is only sent alone.
     pub alone_after: u16,
-    /// Deaths after which it ends as failed.
+    /// Number of engine crashes after which the item ends as failed.
     pub give_up_after: u16,
 }
 
@@ -25,49 +25,48 @@
 /// How to send an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Treatment {
-    /// Like any other.
+    /// Send without restrictions.
     Normal,
-    /// With no other batch item in the engine, so that no neighbour is hurt or suspected.
+    /// Send only to an engine without other batch items, so that no other item fails or becomes suspected.
     Alone,
-    /// Not any more: it ends as failed.
+    /// Do not send again: the item ends as failed.
     GiveUp,
 }
 
-/// Counts how often items were in flight when their engine died.
+/// Counts for each item how many engines crashed while it was in flight.
 #[derive(Clone, Debug, Default)]
 pub struct Suspects {
     policy: Policy,
-    deaths: BTreeMap<Key, u16>,
+    crashes: BTreeMap<Key, u16>,
 }
 
 impl Suspects {
-    /// Nobody is suspected.
     pub fn new(policy: Policy) -> Self {
         Self {
             policy,
-            deaths: BTreeMap::new(),
+            crashes: BTreeMap::new(),
         }
     }
 
-    /// An engine died with these items in flight.
-    pub fn engine_died(&mut self, in_flight: impl IntoIterator<Item = Key>) {
+    /// Records that an engine crashed with these items in flight.
+    pub fn record_engine_crash(&mut self, in_flight: impl IntoIterator<Item = Key>) {
         for key in in_flight {
-            let deaths = self.deaths.entry(key).or_default();
-            *deaths = deaths.saturating_add(1);
+            let crashes = self.crashes.entry(key).or_default();
+            *crashes = crashes.saturating_add(1);
         }
     }
 
-    /// An item has ended, or was cancelled.
-    pub fn ended(&mut self, key: Key) {
-        self.deaths.remove(&key);
+    /// Removes an item that has ended or was cancelled.
+    pub fn remove(&mut self, key: Key) {
+        self.crashes.remove(&key);
     }
 
-    /// How to send an item.
+    /// Returns how to send an item.
     pub fn treatment(&self, key: Key) -> Treatment {
-        let deaths = self.deaths.get(&key).copied().unwrap_or_default();
-        if deaths >= self.policy.give_up_after {
+        let crashes = self.crashes.get(&key).copied().unwrap_or_default();
+        if crashes >= self.policy.give_up_after {
             Treatment::GiveUp
-        } else if deaths >= self.policy.alone_after {
+        } else if crashes >= self.policy.alone_after {
             Treatment::Alone
         } else {
             Treatment::Normal
--- a/crates/tinbank-ledger/tests/ledger/arbitrary.rs
+++ b/crates/tinbank-ledger/tests/ledger/arbitrary.rs
@@ -1,4 +1,4 @@
-//! Well-formed records of any contents, in any order: the fold counts or passes over each one and never panics.
+//! Well-formed records of arbitrary contents, in any order: the fold applies or ignores each one and never panics.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -24,13 +24,14 @@
 use crate::fixture::{self, SHARDS, writer};
 
 const CASES: u32 = 512;
-const BEHIND: id::Offset = 100;
+/// An offset after all records that the checkpoints here cover.
+const AFTER_COVERED: id::Offset = 100;
 
 proptest! {
     #![proptest_config(property::config(CASES))]
 
     #[test]
-    fn any_records_in_any_order_are_folded(envelopes in prop::collection::vec(envelope(), 0..24), gaps in prop::collection::vec(0_u64..3, 24)) {
+    fn arbitrary_records_fold_without_panic_and_survive_a_checkpoint(envelopes in prop::collection::vec(envelope(), 0..24), gaps in prop::collection::vec(0_u64..3, 24)) {
         let mut shard = Shard::new(0, SHARDS);
         let mut offset = 0;
 
@@ -39,13 +40,13 @@
             shard.apply(offset, envelope);
         }
 
-        ask(&shard);
+        run_queries(&shard);
         let restored = restore(&checkpoint::records(&shard, 64), 0);
         prop_assert_eq!(restored, Ok(Some(shard).filter(|shard| shard.next() > 0)));
     }
 
     #[test]
-    fn the_last_offset_of_all_is_folded(envelopes in prop::collection::vec(envelope(), 1..6)) {
+    fn the_largest_offset_folds_without_overflow(envelopes in prop::collection::vec(envelope(), 1..6)) {
         let mut shard = Shard::starting_at(0, SHARDS, id::Offset::MAX - 1);
 
         for envelope in &envelopes {
@@ -58,7 +59,7 @@
     }
 
     #[test]
-    fn a_changed_state_is_refused_or_can_be_folded_on(
+    fn a_corrupt_state_is_rejected_or_folds_without_panic(
         envelopes in prop::collection::vec(envelope(), 1..12),
         changes in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..4),
         after in prop::collection::vec(envelope(), 0..12),
@@ -82,23 +83,23 @@
             for envelope in &after {
                 shard.apply(shard.next(), envelope);
             }
-            ask(&shard);
+            run_queries(&shard);
         }
     }
 
     #[test]
-    fn any_checkpoints_are_taken_or_refused(parts in prop::collection::vec(part(), 0..12)) {
+    fn arbitrary_checkpoint_parts_are_read_without_panic(parts in prop::collection::vec(part(), 0..12)) {
         let mut recovery = Recovery::new(0, SHARDS, 0);
 
         for part in parts {
-            let _ = recovery.offer(BEHIND, &one(Record::Checkpoint(part)));
+            let _ = recovery.offer(AFTER_COVERED, &envelope_of(Record::Checkpoint(part)));
         }
     }
 }
 
-/// Each byte of a state set to each value: what is still taken can be folded on and asked.
+/// Sets each byte of a state to each value.
 #[test]
-fn a_state_with_any_one_byte_changed_is_refused_or_can_be_folded_on() {
+fn a_state_with_one_corrupt_byte_is_rejected_or_folds_without_panic() {
     let shard = with_work();
     let records = checkpoint::records(&shard, usize::MAX);
     let [Record::Checkpoint(part)] = &records[..] else {
@@ -111,7 +112,7 @@
         request: 9,
         answer: Ok(Bytes::new()),
     });
-    let mut after = one(fixture::completed(1, 0, all));
+    let mut after = envelope_of(fixture::completed(1, 0, all));
     after.sequence = 9;
     after.records.push(settled);
 
@@ -126,32 +127,32 @@
             });
             if let Ok(Some(mut shard)) = restore(&[changed], 0) {
                 shard.apply(shard.next(), &after);
-                ask(&shard);
+                run_queries(&shard);
             }
         }
     }
 }
 
 #[test]
-fn the_state_of_another_shard_is_refused() {
+fn the_state_of_another_shard_is_rejected() {
     let mut shard = Shard::new(1, SHARDS);
-    shard.apply(0, &one(Record::Cancel { job: 1 }));
+    shard.apply(0, &envelope_of(Record::Cancel { job: 1 }));
 
     let found = restore(&checkpoint::records(&shard, usize::MAX), 0);
 
-    let refused = Error::Shard {
+    let rejected = Error::Shard {
         found: 1,
         found_of: SHARDS,
         shard: 0,
         shards: SHARDS,
     };
-    assert_eq!(found, Err(refused));
+    assert_eq!(found, Err(rejected));
 }
 
 #[test]
-fn the_state_of_a_deployment_with_other_shards_is_refused() {
+fn the_state_of_a_deployment_with_another_shard_count_is_rejected() {
     let mut shard = Shard::new(0, SHARDS + 1);
-    shard.apply(0, &one(Record::Cancel { job: 1 }));
+    shard.apply(0, &envelope_of(Record::Cancel { job: 1 }));
 
     let found = restore(&checkpoint::records(&shard, usize::MAX), 0);
 
@@ -159,7 +160,7 @@
 }
 
 #[test]
-fn a_checkpoint_that_claims_to_reach_past_itself_does_not_keep_others_from_being_written() {
+fn a_checkpoint_that_claims_to_cover_later_records_does_not_block_new_checkpoints() {
     let mut shard = Shard::new(0, SHARDS);
     let part = work::Checkpoint {
         through: id::Offset::MAX,
@@ -169,16 +170,16 @@
         state: Bytes::new(),
     };
 
-    shard.apply(0, &one(Record::Checkpoint(part)));
+    shard.apply(0, &envelope_of(Record::Checkpoint(part)));
 
     assert_eq!(shard.checkpoint(), None);
     assert!(shard.needs_checkpoint(1));
 }
 
 #[test]
-fn a_bad_part_does_not_hide_a_checkpoint_behind_it() {
+fn recovery_finds_a_checkpoint_after_a_malformed_part() {
     let mut shard = Shard::new(0, SHARDS);
-    shard.apply(0, &one(Record::Cancel { job: 1 }));
+    shard.apply(0, &envelope_of(Record::Cancel { job: 1 }));
     let bad = work::Checkpoint {
         through: 0,
         part: u32::MAX,
@@ -190,12 +191,12 @@
     records.extend(checkpoint::records(&shard, usize::MAX));
     let mut recovery = Recovery::new(0, SHARDS, 0);
 
-    let found = recovery.offer(BEHIND, &fixture::envelope(writer(1, 1), 1, 1, records));
+    let found = recovery.offer(AFTER_COVERED, &fixture::envelope(writer(1, 1), 1, 1, records));
 
     assert_eq!(found, Ok(Some(shard)));
 }
 
-/// A state with a chunk of which an item has ended, and an open claim.
+/// Returns a state with a partly completed chunk and an open claim.
 fn with_work() -> Shard {
     let mut shard = Shard::new(0, SHARDS);
     let head = fixture::head(1, 1, 4, 1, 1);
@@ -218,8 +219,8 @@
     shard
 }
 
-/// Asks all that the driver asks of a state.
-fn ask(shard: &Shard) {
+/// Runs the queries of the driver.
+fn run_queries(shard: &Shard) {
     for job in [0, 1, id::Job::MAX] {
         let Some(work) = shard.work(job) else {
             continue;
@@ -238,20 +239,20 @@
 fn restore(records: &[Record], shard: id::Shard) -> Result<Option<Shard>, Error> {
     let mut recovery = Recovery::new(shard, SHARDS, 0);
     for record in records {
-        if let Some(shard) = recovery.offer(BEHIND, &one(record.clone()))? {
+        if let Some(shard) = recovery.offer(AFTER_COVERED, &envelope_of(record.clone()))? {
             return Ok(Some(shard));
         }
     }
     Ok(None)
 }
 
-fn one(record: Record) -> Envelope<Record> {
+fn envelope_of(record: Record) -> Envelope<Record> {
     fixture::envelope(writer(1, 1), 1, 1, vec![record])
 }
 
 fn envelope() -> impl Strategy<Value = Envelope<Record>> {
     let records = prop::collection::vec(record(), 0..5);
-    (anyone(), wide(), wide(), records).prop_map(|(writer, sequence, micros, records)| Envelope {
+    (any_writer(), small_or_max_u64(), small_or_max_u64(), records).prop_map(|(writer, sequence, micros, records)| Envelope {
         writer,
         sequence,
         stamp: Stamp { micros, counter: 0 },
@@ -268,9 +269,9 @@
         job().prop_map(|job| Record::Cancel { job }),
         (
             job(),
-            narrow(),
-            wide(),
-            prop::collection::vec(narrow(), 0..4)
+            small_or_max_u32(),
+            small_or_max_u64(),
+            prop::collection::vec(small_or_max_u32(), 0..4)
         )
             .prop_map(
                 |(job, chunk, epoch, items)| Record::Dispatch(work::Dispatch {
@@ -280,9 +281,9 @@
                     items
                 })
             ),
-        (job(), narrow(), completions())
+        (job(), small_or_max_u32(), completions())
             .prop_map(|(job, chunk, completions)| { fixture::completed(job, chunk, completions) }),
-        (job(), wide(), narrow(), select(vec![0, 1, u16::MAX])).prop_map(
+        (job(), small_or_max_u64(), small_or_max_u32(), select(vec![0, 1, u16::MAX])).prop_map(
             |(job, intake, count, shard)| Record::Part(work::Part {
                 job,
                 intake,
@@ -292,7 +293,7 @@
                 cancelled: count
             })
         ),
-        (job(), anyone(), job(), time(), time()).prop_map(
+        (job(), any_writer(), job(), time(), time()).prop_map(
             |(key, claimer, request, deadline, keep_until)| Record::Claim(Claim {
                 key,
                 body: [1; 32],
@@ -302,7 +303,7 @@
                 keep_until
             })
         ),
-        (job(), anyone(), job(), any::<bool>()).prop_map(|(key, claimer, request, ran)| {
+        (job(), any_writer(), job(), any::<bool>()).prop_map(|(key, claimer, request, ran)| {
             let answer = match ran {
                 true => Ok(Bytes::from_static(b"{}")),
                 false => Err(Stored {
@@ -319,7 +320,7 @@
             })
         }),
         part().prop_map(Record::Checkpoint),
-        (wide(), chunk(), completions()).prop_map(|(through, chunk, completions)| {
+        (small_or_max_u64(), chunk(), completions()).prop_map(|(through, chunk, completions)| {
             Record::Carried(work::Carried {
                 through,
                 chunk,
@@ -331,15 +332,15 @@
 
 fn lease() -> impl Strategy<Value = Lease> {
     prop_oneof![
-        (wide(), prop::option::of(wide()))
+        (small_or_max_u64(), prop::option::of(small_or_max_u64()))
             .prop_map(|(epoch, expected)| Lease::Take { epoch, expected }),
-        wide().prop_map(|epoch| Lease::Renew { epoch }),
-        wide().prop_map(|epoch| Lease::Release { epoch }),
+        small_or_max_u64().prop_map(|epoch| Lease::Renew { epoch }),
+        small_or_max_u64().prop_map(|epoch| Lease::Release { epoch }),
     ]
 }
 
 fn chunk() -> impl Strategy<Value = work::Chunk> {
-    (job(), wide(), narrow(), narrow(), 0_u32..70).prop_map(|(job, intake, chunk, first, items)| {
+    (job(), small_or_max_u64(), small_or_max_u32(), small_or_max_u32(), 0_u32..70).prop_map(|(job, intake, chunk, first, items)| {
         let items = (0..items).map(fixture::item).collect();
         work::Chunk {
             job,
@@ -353,7 +354,7 @@
 
 fn head() -> impl Strategy<Value = work::Head> {
     let shards = prop::collection::vec(select(vec![0, 1, u16::MAX]), 0..3);
-    (job(), wide(), narrow(), narrow(), shards, time(), time()).prop_map(
+    (job(), small_or_max_u64(), small_or_max_u32(), small_or_max_u32(), shards, time(), time()).prop_map(
         |(job, intake, items, chunks, shards, due, keep_until)| work::Head {
             items,
             chunks,
@@ -366,7 +367,7 @@
 }
 
 fn release() -> impl Strategy<Value = work::Release> {
-    (job(), wide(), narrow(), time(), time()).prop_map(|(job, intake, chunks, due, keep_until)| {
+    (job(), small_or_max_u64(), small_or_max_u32(), time(), time()).prop_map(|(job, intake, chunks, due, keep_until)| {
         work::Release {
             job,
             intake,
@@ -380,7 +381,7 @@
 }
 
 fn completions() -> impl Strategy<Value = Vec<work::Completion>> {
-    prop::collection::vec(narrow(), 0..5).prop_map(|items| {
+    prop::collection::vec(small_or_max_u32(), 0..5).prop_map(|items| {
         let answer = |item| fixture::answer(item, "a");
         items.into_iter().map(answer).collect()
     })
@@ -388,7 +389,7 @@
 
 fn part() -> impl Strategy<Value = work::Checkpoint> {
     let state = prop::collection::vec(any::<u8>(), 0..40);
-    (wide(), narrow(), narrow(), state).prop_map(|(through, part, parts, state)| work::Checkpoint {
+    (small_or_max_u64(), small_or_max_u32(), small_or_max_u32(), state).prop_map(|(through, part, parts, state)| work::Checkpoint {
         through,
         part,
         parts,
@@ -397,7 +398,7 @@
     })
 }
 
-fn anyone() -> impl Strategy<Value = Writer> {
+fn any_writer() -> impl Strategy<Value = Writer> {
     (0_u32..3, 0_u64..6).prop_map(|(host, incarnation)| writer(host, incarnation))
 }
 
@@ -405,15 +406,15 @@
     select(vec![0, 1, u128::MAX])
 }
 
-fn narrow() -> impl Strategy<Value = u32> {
+fn small_or_max_u32() -> impl Strategy<Value = u32> {
     prop_oneof![4 => 0_u32..4, 1 => select(vec![63, 64, 65, u32::MAX - 1, u32::MAX])]
 }
 
-fn wide() -> impl Strategy<Value = u64> {
+fn small_or_max_u64() -> impl Strategy<Value = u64> {
     prop_oneof![4 => 0_u64..4, 1 => select(vec![u64::from(u32::MAX), u64::MAX - 1, u64::MAX])]
 }
 
-/// Times that a record can hold, the first and the last one among them.
+/// Times that a record can hold, including the first and the last one.
 fn time() -> impl Strategy<Value = SystemTime> {
     let last = Duration::from_millis(i64::MAX as u64);
     select(vec![
--- a/crates/tinbank-ledger/tests/ledger/claim_world.rs
+++ b/crates/tinbank-ledger/tests/ledger/claim_world.rs
@@ -1,4 +1,5 @@
-//! Any interleaving of claims of one key: online processes that ask stale owners, resend, die; owners that settle.
+//! Simulation of concurrent claims of one key: online processes that use stale owners, retry and crash, and owners that
+//! settle claims.
 
 use std::time::Duration;
 
@@ -26,8 +27,8 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// A caller sends the request, again, to an online process, which asks an owner.
-    Ask {
+    /// A caller sends or retries the request at an online process, which claims it at an owner.
+    Submit {
         claimer: usize,
         owner: usize,
     },
@@ -35,27 +36,28 @@
         owner: usize,
         count: usize,
     },
-    /// An online process sends if it has won; the upstream may say that it did not run.
+    /// An online process that won the claim sends the request; the upstream may report that it did not run.
     Send {
         claimer: usize,
         owner: usize,
         runs: bool,
     },
-    /// An online process hands its result to an owner, or once more what it handed over last.
+    /// An online process sends its result to an owner, or repeats its last one.
     Settle {
         claimer: usize,
         owner: usize,
         again: bool,
     },
-    /// An online process dies; its next start knows nothing.
-    Die {
+    /// An online process crashes and restarts without state.
+    Crash {
         claimer: usize,
     },
-    /// An owner ends the claims of processes that it believes to be gone, rightly or not.
+    /// An owner settles the claims of a process that it believes, rightly or not, to be gone.
     Expire {
         owner: usize,
         claimer: usize,
     },
+    /// A duplicate of an earlier append is written.
     Copy {
         pick: Index,
     },
@@ -64,12 +66,12 @@
 fn step() -> impl Strategy<Value = Step> {
     let (claimer, owner) = (0..CLAIMERS, 0..OWNERS);
     prop_oneof![
-        4 => (claimer.clone(), owner.clone()).prop_map(|(claimer, owner)| Step::Ask { claimer, owner }),
+        4 => (claimer.clone(), owner.clone()).prop_map(|(claimer, owner)| Step::Submit { claimer, owner }),
         6 => (owner.clone(), 1..6usize).prop_map(|(owner, count)| Step::Read { owner, count }),
         6 => (claimer.clone(), owner.clone(), any::<bool>())
             .prop_map(|(claimer, owner, runs)| Step::Send { claimer, owner, runs }),
         5 => (claimer.clone(), owner.clone(), any::<bool>()).prop_map(|(claimer, owner, again)| Step::Settle { claimer, owner, again }),
-        1 => claimer.clone().prop_map(|claimer| Step::Die { claimer }),
+        1 => claimer.clone().prop_map(|claimer| Step::Crash { claimer }),
         1 => (owner, claimer).prop_map(|(owner, claimer)| Step::Expire { owner, claimer }),
         2 => any::<Index>().prop_map(|pick| Step::Copy { pick }),
     ]
@@ -81,25 +83,25 @@
     owners: Vec<Shard>,
     claimers: Vec<Claimer>,
     requests: id::Request,
-    /// Results of requests that ran, as their callers got them.
+    /// Results of requests that ran.
     ran: Vec<Bytes>,
 }
 
 struct Claimer {
-    start: u64,
+    incarnation: u64,
     claim: Option<Claim>,
     result: Option<Settled>,
-    /// What it handed over last, for which it may have had no answer.
-    handed: Option<Settled>,
+    /// Last result sent, for which no response may have arrived.
+    last_sent: Option<Settled>,
 }
 
 impl World {
     fn new() -> Self {
         let claimer = |_| Claimer {
-            start: 1,
+            incarnation: 1,
             claim: None,
             result: None,
-            handed: None,
+            last_sent: None,
         };
         Self {
             owners: vec![Shard::new(0, SHARDS); OWNERS],
@@ -110,7 +112,7 @@
 
     fn act(&mut self, step: Step) {
         match step {
-            Step::Ask { claimer, owner } => self.ask(claimer, owner),
+            Step::Submit { claimer, owner } => self.submit(claimer, owner),
             Step::Read { owner, count } => self.read(owner, count),
             Step::Send {
                 claimer,
@@ -122,12 +124,12 @@
                 owner,
                 again,
             } => self.settle(claimer, owner, again),
-            Step::Die { claimer } => {
+            Step::Crash { claimer } => {
                 self.claimers[claimer] = Claimer {
-                    start: self.claimers[claimer].start + 1,
+                    incarnation: self.claimers[claimer].incarnation + 1,
                     claim: None,
                     result: None,
-                    handed: None,
+                    last_sent: None,
                 };
             }
             Step::Expire { owner, claimer } => {
@@ -147,14 +149,14 @@
         }
     }
 
-    fn ask(&mut self, claimer: usize, owner: usize) {
+    fn submit(&mut self, claimer: usize, owner: usize) {
         self.requests += 1;
         let request = self.requests;
         let this = &mut self.claimers[claimer];
         let claim = this.claim.get_or_insert_with(|| Claim {
             key: placement::claim_key("water", "alarm"),
             body: [1; 32],
-            claimer: writer(claimer as id::Host, this.start),
+            claimer: writer(claimer as id::Host, this.incarnation),
             request,
             deadline: time(30),
             keep_until: time(DAY),
@@ -196,16 +198,16 @@
 
     fn settle(&mut self, claimer: usize, owner: usize, again: bool) {
         let this = &mut self.claimers[claimer];
-        let handed = if again {
-            this.handed.clone()
+        let settled = if again {
+            this.last_sent.clone()
         } else {
             this.result.clone()
         };
-        let Some(settled) = handed else {
+        let Some(settled) = settled else {
             return;
         };
-        this.handed = Some(settled.clone());
-        // A caller that was told that it did not run may send the request again: a new request then.
+        this.last_sent = Some(settled.clone());
+        // A caller that learned that its request did not run may retry it as a new request.
         if settled.answer.is_err() && !again {
             this.claim = None;
             this.result = None;
@@ -223,9 +225,9 @@
     }
 
     fn append(&mut self, owner: usize, records: Vec<Record>) {
-        let by = writer(100 + owner as id::Host, 1);
+        let owner_writer = writer(100 + owner as id::Host, 1);
         let sequence = self.log.len() as u64 + 1;
-        self.log.push(fixture::envelope(by, sequence, 1, records));
+        self.log.push(fixture::envelope(owner_writer, sequence, 1, records));
     }
 }
 
--- a/crates/tinbank-ledger/tests/ledger/claims.rs
+++ b/crates/tinbank-ledger/tests/ledger/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of online requests: one runs, a resend learns what became of it.
+//! Claims of online requests: one request runs, and a retry gets its outcome.
 
 use std::time::Duration;
 
@@ -19,18 +19,18 @@
 const GRACE: Duration = Duration::from_secs(30);
 
 #[test]
-fn the_first_claim_wins_and_a_resend_waits_for_its_answer() {
-    let (first, resend) = (claim(1, 10), claim(2, 20));
+fn the_first_claim_wins_and_a_retry_gets_its_answer() {
+    let (first, retry) = (claim(1, 10), claim(2, 20));
     let mut shard = Shard::new(0, SHARDS);
     let free = shard.claim_status(&first);
     append(
         &mut shard,
-        vec![Record::Claim(first.clone()), Record::Claim(resend.clone())],
+        vec![Record::Claim(first.clone()), Record::Claim(retry.clone())],
     );
 
-    let (won, running) = (shard.claim_status(&first), shard.claim_status(&resend));
+    let (won, running) = (shard.claim_status(&first), shard.claim_status(&retry));
     append(&mut shard, vec![Record::Settled(answered(&first))]);
-    let settled = shard.claim_status(&resend);
+    let settled = shard.claim_status(&retry);
 
     assert_eq!(free, None);
     assert_eq!(won, Some(Claimed::Won));
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn another_body_is_told_apart() {
+fn a_claim_of_the_same_key_with_another_body_is_detected() {
     let first = claim(1, 10);
     let other = Claim {
         body: [9; 32],
@@ -49,12 +49,12 @@
 
     append(&mut shard, vec![Record::Claim(first.clone())]);
 
-    let asked = shard.claim_status(&other);
-    assert_eq!(asked, Some(Claimed::OtherBody { first: first.body }));
+    let status = shard.claim_status(&other);
+    assert_eq!(status, Some(Claimed::OtherBody { first: first.body }));
 }
 
 #[test]
-fn only_the_claimer_settles() {
+fn only_the_claimer_can_settle_its_claim() {
     let (first, other) = (claim(1, 10), claim(2, 20));
     let mut shard = Shard::new(0, SHARDS);
     append(&mut shard, vec![Record::Claim(first.clone())]);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_late_copy_of_a_claim_does_not_take_the_freed_key() {
+fn a_late_duplicate_of_a_claim_does_not_take_the_freed_key() {
     let (first, next) = (claim(1, 10), claim(2, 20));
     let mut shard = Shard::new(0, SHARDS);
     let claimed = fixture::envelope(writer(7, 1), 1, 1, vec![Record::Claim(first.clone())]);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_late_copy_of_not_run_does_not_free_the_next_claim() {
+fn a_late_duplicate_of_a_not_run_settlement_does_not_free_the_next_claim() {
     let first = claim(1, 10);
     let retry = claim(1, 11);
     let mut shard = Shard::new(0, SHARDS);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_claim_of_a_lost_claimer_ends_as_unknown_by_a_record() {
+fn the_claim_of_a_lost_claimer_is_settled_as_unknown() {
     let (lost, running) = (claim(1, 10), other_key(claim(2, 20)));
     let mut shard = Shard::new(0, SHARDS);
     append(
@@ -136,12 +136,12 @@
     assert_eq!(shard.claim_status(&running), Some(Claimed::Won));
     assert!(
         !shard.claims().settled(&answered(&lost)),
-        "the later answer does not count"
+        "the later answer has no effect"
     );
 }
 
 #[test]
-fn a_claim_is_overdue_when_deadline_and_grace_are_past() {
+fn a_claim_is_overdue_after_its_deadline_and_the_grace_period() {
     let open = claim(1, 10);
     let mut shard = Shard::new(0, SHARDS);
     append(&mut shard, vec![Record::Claim(open.clone())]);
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_settled_claim_is_forgotten_after_its_time_and_an_open_one_never() {
+fn settled_claims_expire_and_open_claims_do_not() {
     let (settled, open) = (claim(1, 10), other_key(claim(2, 20)));
     let mut shard = Shard::new(0, SHARDS);
     append(
--- a/crates/tinbank-ledger/tests/ledger/fixture.rs
+++ b/crates/tinbank-ledger/tests/ledger/fixture.rs
@@ -1,4 +1,4 @@
-//! Records and envelopes for tests.
+//! Builders of records and envelopes.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// An item of which every third may not be repeated.
+/// Returns an item. Every third item is not repeatable.
 pub fn item(number: id::Item) -> work::Item {
     work::Item {
         custom_id: format!("item-{number}"),
@@ -55,8 +55,8 @@
     }
 }
 
-/// The item of an intake, told apart from that of another one.
-fn named(intake: u64, number: id::Item) -> work::Item {
+/// Returns an item with an id that is unique to the intake.
+fn item_of_intake(intake: u64, number: id::Item) -> work::Item {
     work::Item {
         custom_id: format!("item-{number}-of-{intake}"),
         ..item(number)
@@ -76,7 +76,7 @@
         chunk,
         first,
         items: (first..first + items)
-            .map(|number| named(intake, number))
+            .map(|number| item_of_intake(intake, number))
             .collect(),
     }
 }
@@ -123,10 +123,10 @@
     })
 }
 
-/// A job id whose head is in shard `shard`.
+/// Returns a job id whose head is in shard `shard`.
 pub fn job_in(shard: id::Shard) -> id::Job {
     (0..100)
         .map(|number| placement::job_id("water", &format!("sweep {number}")))
         .find(|job| placement::shard_of_job(*job, SHARDS) == shard)
-        .expect("one in a hundred jobs is in the shard")
+        .expect("one of 100 jobs must be in the shard")
 }
--- a/crates/tinbank-ledger/tests/ledger/fold.rs
+++ b/crates/tinbank-ledger/tests/ledger/fold.rs
@@ -1,4 +1,4 @@
-//! Which record counts when two say different things, one case at a time.
+//! Which of several conflicting records takes effect.
 
 use tinbank_base::{
     id,
@@ -15,11 +15,11 @@
 
 const JOB: id::Job = 5;
 const OWNER: u32 = 1;
-/// An item that may not be repeated.
-const ONCE: id::Item = 3;
+/// An item that is not repeatable.
+const NOT_REPEATABLE: id::Item = 3;
 
 #[test]
-fn chunks_wait_for_their_release_and_only_its_intake_runs() {
+fn only_chunks_of_the_released_intake_run() {
     let mut shard = Shard::new(0, SHARDS);
     add(&mut shard, vec![chunk(1), chunk(2)]);
     let before = shard.ready("water").count();
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_first_head_counts_and_a_second_intake_learns_of_it() {
+fn the_first_head_is_accepted_and_a_second_one_ignored() {
     let job = fixture::job_in(0);
     let mut shard = Shard::new(0, SHARDS);
 
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn the_first_completion_counts() {
+fn only_the_first_completion_of_an_item_takes_effect() {
     let mut shard = running();
 
     let first = add(
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_completion_of_an_item_of_another_chunk_is_dropped() {
+fn a_completion_of_an_item_outside_its_chunk_is_ignored() {
     let mut shard = running();
 
     let changes = add(
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn completions_after_a_cancel_do_not_count() {
+fn completions_after_a_cancel_are_ignored() {
     let mut shard = running();
     add(&mut shard, vec![completed(JOB, 0, vec![answer(0, "a")])]);
 
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_cancel_of_what_was_never_accepted_changes_nothing() {
+fn a_cancel_of_an_unknown_job_is_ignored() {
     let job = fixture::job_in(0);
     let mut shard = Shard::new(0, SHARDS);
 
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_second_copy_of_an_append_changes_nothing() {
+fn a_duplicate_append_is_ignored() {
     let mut shard = Shard::new(0, SHARDS);
     let envelope = fixture::envelope(writer(OWNER, 1), 1, 1, vec![chunk(1), release(1)]);
     shard.apply(0, &envelope);
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn an_unreadable_record_is_passed_over() {
+fn an_undecodable_envelope_is_skipped_and_counted() {
     let mut shard = running();
     let next = shard.next();
 
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn an_item_not_to_be_repeated_needs_its_dispatch_read_back() {
+fn a_non_repeatable_item_is_sent_only_after_its_dispatch_was_read_back() {
     let mut shard = running();
     take(&mut shard, OWNER);
     let before = sending(&shard, 1);
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn a_dispatch_of_a_former_owner_does_not_count() {
+fn a_dispatch_by_a_former_owner_is_ignored() {
     let mut shard = running();
     take(&mut shard, OWNER);
     take(&mut shard, 2);
@@ -174,12 +174,12 @@
 }
 
 #[test]
-fn an_open_dispatch_ends_as_unknown_after_a_takeover() {
+fn an_open_dispatch_fails_as_outcome_unknown_after_a_takeover() {
     let mut shard = running();
     take(&mut shard, OWNER);
     add(&mut shard, vec![dispatch(1)]);
     take(&mut shard, 2);
-    let spent = sending(&shard, 2);
+    let after_takeover = sending(&shard, 2);
 
     let duties = due(&mut shard, 2);
     let ended = add(
@@ -187,14 +187,14 @@
         duties.into_iter().map(|duty| duty.record).collect(),
     );
 
-    assert_eq!(spent, Sending::MaybeSent);
-    assert_eq!(items(&ended), [ONCE]);
+    assert_eq!(after_takeover, Sending::MaybeSent);
+    assert_eq!(items(&ended), [NOT_REPEATABLE]);
     assert_eq!(sending(&shard, 2), Sending::Ended);
     assert_eq!(shard.count(JOB).map(|count| count.failed), Some(1));
 }
 
 #[test]
-fn duties_are_repeated_until_done_and_only_by_the_owner() {
+fn the_owner_retries_duties_until_they_are_done() {
     let job = fixture::job_in(0);
     let mut shard = Shard::new(0, SHARDS);
     add(
@@ -219,12 +219,12 @@
     assert_eq!(
         shards(&later),
         [0],
-        "our own shard's release was not read back"
+        "the release in the owner's own shard was not read back"
     );
 }
 
 #[test]
-fn a_part_is_told_to_the_head_and_then_noted_here() {
+fn a_finished_part_is_reported_to_the_shard_of_the_head_and_then_recorded_locally() {
     let job = fixture::job_in(1);
     let mut shard = Shard::new(0, SHARDS);
     let head = fixture::head(job, 1, 4, 1, 1);
@@ -243,22 +243,22 @@
     let now = std::time::Instant::now();
     let mut duties = Duties::new(std::time::Duration::from_secs(1));
 
-    let told = duties.due(&shard, writer(OWNER, 1), now);
-    told.iter()
+    let reports = duties.due(&shard, writer(OWNER, 1), now);
+    reports.iter()
         .for_each(|duty| duties.acknowledged(&shard, duty));
-    let noted = duties.due(&shard, writer(OWNER, 1), now);
+    let local = duties.due(&shard, writer(OWNER, 1), now);
     add(
         &mut shard,
-        noted.iter().map(|duty| duty.record.clone()).collect(),
+        local.iter().map(|duty| duty.record.clone()).collect(),
     );
 
-    assert_eq!(shards(&told), [placement::shard_of_job(job, SHARDS)]);
-    assert_eq!(shards(&noted), [0]);
+    assert_eq!(shards(&reports), [placement::shard_of_job(job, SHARDS)]);
+    assert_eq!(shards(&local), [0]);
     assert!(!shard.live());
 }
 
 #[test]
-fn a_finished_job_is_forgotten_after_its_time() {
+fn a_finished_job_expires_after_its_retention() {
     let mut shard = finished();
 
     add_at(&mut shard, writer(1, 1), 8 * DAY, Vec::new());
@@ -267,31 +267,31 @@
 }
 
 #[test]
-fn a_job_taken_in_again_long_after_runs_even_where_the_first_is_remembered() {
+fn a_resubmitted_job_runs_where_its_finished_predecessor_has_not_expired() {
     let mut shard = finished();
     let stale = release(1);
-    let again = Record::Release(released_again(7 * DAY + 1));
+    let resubmitted = Record::Release(release_of_second_intake(7 * DAY + 1));
 
     add(&mut shard, vec![chunk(2)]);
-    let changes = add(&mut shard, vec![again]);
-    let flipped = add(&mut shard, vec![stale, part()]);
+    let changes = add(&mut shard, vec![resubmitted]);
+    let stale_changes = add(&mut shard, vec![stale, part()]);
 
     assert_eq!(changes[..], [Change::Released(JOB)]);
-    assert!(flipped.is_empty());
+    assert!(stale_changes.is_empty());
     assert_eq!(shard.count(JOB).map(|count| count.pending), Some(4));
     assert!(
         shard.live(),
-        "the part of the first does not end the second"
+        "the part of the first intake does not end the second"
     );
 }
 
 #[test]
-fn a_release_of_another_intake_does_not_end_a_running_job() {
+fn a_release_of_another_intake_does_not_replace_a_running_job() {
     let mut shard = running();
 
     let changes = add(
         &mut shard,
-        vec![chunk(2), Record::Release(released_again(7 * DAY + 1))],
+        vec![chunk(2), Record::Release(release_of_second_intake(7 * DAY + 1))],
     );
 
     assert!(changes.is_empty());
@@ -305,7 +305,7 @@
 }
 
 #[test]
-fn chunks_without_a_release_are_forgotten_after_a_day() {
+fn unreleased_chunks_expire_after_a_day() {
     let mut shard = running();
     add(&mut shard, vec![chunk(2)]);
     add_at(&mut shard, writer(2, 1), 2, Vec::new());
@@ -319,7 +319,7 @@
 }
 
 #[test]
-fn a_cancel_follows_the_release() {
+fn a_cancel_is_due_only_after_the_release_was_acknowledged() {
     let job = fixture::job_in(0);
     let mut shard = Shard::new(0, SHARDS);
     add(
@@ -354,7 +354,7 @@
 }
 
 #[test]
-fn one_fast_clock_makes_nobody_forget() {
+fn a_single_fast_clock_expires_nothing() {
     let mut shard = finished();
     add_at(&mut shard, writer(2, 1), 2, Vec::new());
 
@@ -371,8 +371,8 @@
     shard
 }
 
-/// A release of the second intake whose results stay readable until `keep_until` seconds.
-fn released_again(keep_until: u64) -> work::Release {
+/// Returns a release of the second intake whose results are kept until `keep_until` seconds.
+fn release_of_second_intake(keep_until: u64) -> work::Release {
     let head = fixture::head(JOB, 2, 4, 1, 1);
     work::Release {
         keep_until: fixture::time(keep_until),
@@ -411,14 +411,14 @@
         job: JOB,
         chunk: 0,
         epoch,
-        items: vec![ONCE],
+        items: vec![NOT_REPEATABLE],
     })
 }
 
 fn sending(shard: &Shard, epoch: id::Epoch) -> Sending {
     let item = Item {
         chunk: 0,
-        item: ONCE,
+        item: NOT_REPEATABLE,
         repeatable: false,
     };
     shard.sending(JOB, item, epoch)
--- a/crates/tinbank-ledger/tests/ledger/interleaving.rs
+++ b/crates/tinbank-ledger/tests/ledger/interleaving.rs
@@ -1,4 +1,5 @@
-//! Any interleaving of intake, run, cancel, takeover, loss, copies, checkpoints and retention, against the naive model.
+//! Random interleavings of intake, runs, cancels, takeovers, restarts, duplicate appends, checkpoints and retention,
+//! checked against the reference model.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -28,11 +29,11 @@
         shard: id::Shard,
         count: usize,
     },
-    Take {
+    TakeLease {
         host: usize,
         shard: id::Shard,
     },
-    GiveBack {
+    ReleaseLease {
         host: usize,
         shard: id::Shard,
     },
@@ -50,7 +51,7 @@
         host: usize,
         limit: usize,
     },
-    Turn {
+    FullRound {
         host: usize,
         phases: usize,
     },
@@ -61,7 +62,7 @@
     Restart {
         host: usize,
     },
-    Copy {
+    Duplicate {
         shard: id::Shard,
         pick: Index,
     },
@@ -73,7 +74,7 @@
     Trim {
         shard: id::Shard,
     },
-    Pass {
+    AdvanceTime {
         seconds: u64,
     },
 }
@@ -87,21 +88,21 @@
             .prop_map(|(host, job, records)| Step::Intake { host, job, records }),
         12 => (host.clone(), shard.clone(), 1..20usize)
             .prop_map(|(host, shard, count)| Step::Read { host, shard, count }),
-        5 => (host.clone(), shard.clone()).prop_map(|(host, shard)| Step::Take { host, shard }),
-        1 => (host.clone(), shard.clone()).prop_map(|(host, shard)| Step::GiveBack { host, shard }),
+        5 => (host.clone(), shard.clone()).prop_map(|(host, shard)| Step::TakeLease { host, shard }),
+        1 => (host.clone(), shard.clone()).prop_map(|(host, shard)| Step::ReleaseLease { host, shard }),
         6 => (host.clone(), shard.clone(), 1..4usize)
             .prop_map(|(host, shard, limit)| Step::Duties { host, shard, limit }),
         8 => (host.clone(), shard.clone(), 1..6usize)
             .prop_map(|(host, shard, limit)| Step::Run { host, shard, limit }),
         6 => (host.clone(), 1..4usize).prop_map(|(host, limit)| Step::Finish { host, limit }),
-        6 => (host.clone(), 1..=10usize).prop_map(|(host, phases)| Step::Turn { host, phases }),
+        6 => (host.clone(), 1..=10usize).prop_map(|(host, phases)| Step::FullRound { host, phases }),
         1 => (host.clone(), job).prop_map(|(host, job)| Step::Cancel { host, job }),
         1 => host.clone().prop_map(|host| Step::Restart { host }),
-        2 => (shard.clone(), any::<Index>()).prop_map(|(shard, pick)| Step::Copy { shard, pick }),
+        2 => (shard.clone(), any::<Index>()).prop_map(|(shard, pick)| Step::Duplicate { shard, pick }),
         2 => (host, shard.clone(), 1..9usize)
             .prop_map(|(host, shard, parts)| Step::Checkpoint { host, shard, parts }),
         1 => shard.prop_map(|shard| Step::Trim { shard }),
-        2 => (1..3u64).prop_map(|seconds| Step::Pass { seconds }),
+        2 => (1..3u64).prop_map(|seconds| Step::AdvanceTime { seconds }),
     ]
 }
 
@@ -109,18 +110,18 @@
     match step {
         Step::Intake { host, job, records } => world.intake(host, world.jobs[job], records),
         Step::Read { host, shard, count } => world.read(host, shard, count),
-        Step::Take { host, shard } => world.take(host, shard),
-        Step::GiveBack { host, shard } => world.give_back(host, shard),
+        Step::TakeLease { host, shard } => world.take_lease(host, shard),
+        Step::ReleaseLease { host, shard } => world.release_lease(host, shard),
         Step::Duties { host, shard, limit } => world.duties(host, shard, limit),
         Step::Run { host, shard, limit } => world.run(host, shard, limit),
         Step::Finish { host, limit } => world.finish(host, limit),
-        Step::Turn { host, phases } => world.turn(host, phases),
+        Step::FullRound { host, phases } => world.full_round(host, phases),
         Step::Cancel { host, job } => world.cancel(host, world.jobs[job]),
         Step::Restart { host } => world.restart(host),
-        Step::Copy { shard, pick } => world.copy(shard, pick.index(usize::MAX)),
+        Step::Duplicate { shard, pick } => world.duplicate(shard, pick.index(usize::MAX)),
         Step::Checkpoint { host, shard, parts } => world.checkpoint(host, shard, parts),
         Step::Trim { shard } => world.trim(shard),
-        Step::Pass { seconds } => world.pass(seconds),
+        Step::AdvanceTime { seconds } => world.advance_time(seconds),
     }
 }
 
@@ -128,7 +129,7 @@
     #![proptest_config(property::config(CASES))]
 
     #[test]
-    fn every_item_ends_once_as_in_the_naive_model(steps in prop::collection::vec(step(), 1..MAX_STEPS)) {
+    fn every_item_ends_once_as_in_the_reference_model(steps in prop::collection::vec(step(), 1..MAX_STEPS)) {
         let mut world = World::new();
 
         for step in steps {
@@ -137,25 +138,25 @@
         world.settle(0);
         late_completions(&mut world);
 
-        at_most_once(&world);
+        assert_sent_at_most_once(&world);
         for shard in 0..SHARDS {
-            readers_agree(&world, shard);
+            assert_readers_agree(&world, shard);
         }
         for job in world.jobs {
-            outcomes_match(&world, job);
-            accepted_job_is_whole(&world, job);
+            assert_outcomes_match(&world, job);
+            assert_accepted_job_is_complete(&world, job);
         }
     }
 }
 
-/// Owners that were paused wake after all has ended.
+/// Paused owners append completions after all items have ended.
 fn late_completions(world: &mut World) {
     for host in 0..HOSTS {
         world.finish(host, usize::MAX);
     }
 }
 
-fn at_most_once(world: &World) {
+fn assert_sent_at_most_once(world: &World) {
     let mut sent = BTreeSet::new();
     for (job, item) in &world.sends {
         let again = !sent.insert((*job, *item));
@@ -164,16 +165,16 @@
     }
 }
 
-/// A new host that starts from a checkpoint, one that folds from the beginning, and the old ones come to one state.
-fn readers_agree(world: &World, shard: id::Shard) {
+/// A fold from a checkpoint and a fold from the first record must yield the same state.
+fn assert_readers_agree(world: &World, shard: id::Shard) {
     let full = world.full_fold(shard);
     assert_eq!(world.fold(shard), full);
-    assert!(!full.live(), "shard {shard} has work left");
+    assert!(!full.live(), "shard {shard} has unfinished work");
 }
 
-fn outcomes_match(world: &World, job: id::Job) {
+fn assert_outcomes_match(world: &World, job: id::Job) {
     for shard in 0..SHARDS {
-        let model = Model::of(&world.logs[usize::from(shard)].envelopes);
+        let model = Model::from_log(&world.logs[usize::from(shard)].envelopes);
         let fold = world.fold(shard);
         let results = world.results(&fold, job);
         let names: Vec<_> = results.iter().map(|(_, name, _)| name.clone()).collect();
@@ -196,9 +197,9 @@
     }
 }
 
-fn accepted_job_is_whole(world: &World, job: id::Job) {
+fn assert_accepted_job_is_complete(world: &World, job: id::Job) {
     let head_shard = placement::shard_of_job(job, SHARDS);
-    let model = Model::of(&world.logs[usize::from(head_shard)].envelopes);
+    let model = Model::from_log(&world.logs[usize::from(head_shard)].envelopes);
     let fold = world.fold(head_shard);
     let Some(head) = model.heads.get(&job) else {
         assert_eq!(fold.job(job), None);
--- a/crates/tinbank-ledger/tests/ledger/lease.rs
+++ b/crates/tinbank-ledger/tests/ledger/lease.rs
@@ -1,4 +1,4 @@
-//! Leases: who may take, when, and that an outage or a pause of a contender takes nothing from a live holder.
+//! Leases: when a process may take one, and that a live holder keeps its lease during outages and pauses of others.
 
 use std::time::{Duration, Instant};
 
@@ -13,7 +13,7 @@
 const CASES: u32 = 512;
 /// How often a process polls the log.
 const POLL: Duration = Duration::from_millis(500);
-/// Polls of one run: ten minutes.
+/// Polls of one run, ten minutes in total.
 const POLLS: usize = 1_200;
 const PROCESSES: usize = 3;
 
@@ -22,20 +22,20 @@
     stale_view = { Some(3), 1, false },
     skipped_term = { None, 2, false },
 )]
-fn a_first_take_counts_only_from_the_true_place(
+fn a_first_take_is_accepted_only_with_the_current_offset_and_the_next_term(
     expected: Option<id::Offset>,
     epoch: id::Epoch,
-    counts: bool,
+    accepted: bool,
 ) {
     let mut lease = Lease::default();
 
     let change = lease.apply(5, writer(1, 1), Record::Take { epoch, expected });
 
-    assert_eq!(change.is_some(), counts);
+    assert_eq!(change.is_some(), accepted);
 }
 
 #[test]
-fn data_of_the_holder_renews_so_a_take_from_before_it_does_not_count() {
+fn a_record_of_the_holder_renews_the_lease_and_invalidates_earlier_takes() {
     let (holder, contender) = (writer(1, 1), writer(2, 1));
     let mut lease = held_by(holder);
     let seen = lease.last;
@@ -49,7 +49,7 @@
             expected: seen,
         },
     );
-    let informed = lease.apply(
+    let current = lease.apply(
         11,
         contender,
         Record::Take {
@@ -60,13 +60,13 @@
 
     assert_eq!(late, None);
     assert!(matches!(
-        informed,
+        current,
         Some(Change::Taken(Holder { epoch: 2, .. }))
     ));
 }
 
 #[test]
-fn a_former_holder_neither_renews_nor_releases() {
+fn a_former_holder_can_neither_renew_nor_release() {
     let (former, holder) = (writer(1, 1), writer(2, 1));
     let mut lease = held_by(former);
     lease.apply(
@@ -87,20 +87,20 @@
 }
 
 #[test]
-fn an_idle_holder_gives_back_and_an_idle_shard_stays_free() {
+fn an_idle_holder_releases_and_nobody_takes_an_idle_shard() {
     let mut world = World::new(true);
-    world.run(20, |_, _| Fate::Up);
+    world.run(20, |_, _| ProcessState::Up);
     assert!(world.lease().holder.is_some());
 
     world.live = false;
-    world.run(100, |_, _| Fate::Up);
+    world.run(100, |_, _| ProcessState::Up);
 
     assert_eq!(world.lease().holder, None);
     assert_eq!(world.lease().epoch, 1);
 }
 
 #[test]
-fn a_stopping_holder_finishes_its_items_before_it_gives_back() {
+fn a_stopping_holder_finishes_its_items_before_it_releases() {
     let now = Instant::now();
     let me = writer(0, 1);
     let lease = held_by(me);
@@ -121,11 +121,11 @@
 }
 
 #[parameterized(
-    appends_work = { true, 0, Step::Append(Record::Release { epoch: 1 }) },
-    appends_work_and_items_are_in_flight = { true, 2, Step::Drain },
-    outage_for_all = { false, 2, Step::Hold },
+    appends_succeed = { true, 0, Step::Append(Record::Release { epoch: 1 }) },
+    appends_succeed_and_items_are_in_flight = { true, 2, Step::Drain },
+    log_outage = { false, 2, Step::Hold },
 )]
-fn a_holder_that_reads_nothing_does_not_renew(appends_work: bool, in_flight: usize, last: Step) {
+fn a_holder_that_can_not_read_does_not_renew(appends_succeed: bool, in_flight: usize, last: Step) {
     let start = Instant::now();
     let me = writer(0, 1);
     let lease = held_by(me);
@@ -142,7 +142,7 @@
     for poll in 1..11 {
         let now = start + POLL * poll;
         contender.observe_tail(&lease, false, now);
-        if appends_work {
+        if appends_succeed {
             contender.observe_append(now);
         }
         steps.push((now, contender.step(&lease, want, now)));
@@ -153,7 +153,7 @@
         .rfind(|(_, step)| *step == Step::Append(Record::Renew { epoch: 1 }));
     assert!(renewed.is_some_and(|(at, _)| *at <= start + Timings::default().stale));
     assert!(steps.iter().any(|(_, step)| *step == last), "{steps:?}");
-    // Its release is given once, until the time to try again.
+    // The release is appended once per retry interval.
     let end = match last {
         Step::Append(_) => Step::Drain,
         step => step,
@@ -162,16 +162,16 @@
 }
 
 #[test]
-fn a_holder_that_is_not_first_in_rank_hands_over() {
+fn a_holder_without_the_first_rank_hands_over() {
     let mut world = World::new(true);
     world.ranks = [1, 0, 2];
     world.run(
         20,
-        |process, _| if process == 1 { Fate::Paused } else { Fate::Up },
+        |process, _| if process == 1 { ProcessState::Paused } else { ProcessState::Up },
     );
     assert_eq!(world.holder(), Some(0));
 
-    world.run(100, |_, _| Fate::Up);
+    world.run(100, |_, _| ProcessState::Up);
 
     assert_eq!(world.holder(), Some(1));
 }
@@ -180,28 +180,28 @@
     #![proptest_config(property::config(CASES))]
 
     #[test]
-    fn an_outage_or_a_paused_contender_expires_nobody(
+    fn an_outage_or_a_paused_contender_does_not_expire_the_lease(
         outages in prop::collection::vec((0..POLLS, 1..120usize, 0..PROCESSES), 0..8),
         pauses in prop::collection::vec((1..PROCESSES, 0..POLLS, 1..120usize), 0..8),
         order in prop::collection::vec(0..PROCESSES, 1..20),
     ) {
         let mut world = World::new(true);
         world.order = order;
-        // The first in rank takes the lease and lives on.
-        world.run(4, |process, _| if process == 0 { Fate::Up } else { Fate::Paused });
+        // The first in rank takes the lease and keeps running.
+        world.run(4, |process, _| if process == 0 { ProcessState::Up } else { ProcessState::Paused });
         prop_assert_eq!(world.holder(), Some(0));
 
         world.run(POLLS, |process, poll| {
-            let paused = pauses.iter().any(|(who, from, long)| *who == process && within(poll, *from, *long));
+            let paused = pauses.iter().any(|(paused, from, long)| *paused == process && within(poll, *from, *long));
             let outage = outages.iter().any(|(from, long, _)| within(poll, *from, *long));
-            // A process may also sleep through the whole outage and wake first.
+            // A process may also be paused during the whole outage and run before the others.
             let asleep = outages
                 .iter()
-                .any(|(from, long, who)| *who == process && *who > 0 && within(poll, *from, *long));
+                .any(|(from, long, asleep)| *asleep == process && *asleep > 0 && within(poll, *from, *long));
             match (paused || asleep, outage) {
-                (true, _) => Fate::Paused,
-                (_, true) => Fate::Outage,
-                _ => Fate::Up,
+                (true, _) => ProcessState::Paused,
+                (_, true) => ProcessState::Outage,
+                _ => ProcessState::Up,
             }
         });
 
@@ -210,35 +210,35 @@
     }
 
     #[test]
-    fn a_lost_holder_is_followed_within_the_terms(
+    fn a_lost_holder_is_replaced_within_the_lease_timings(
         lost in 0..PROCESSES,
         outage in (0..40usize, 0..60usize),
         order in prop::collection::vec(0..PROCESSES, 1..20),
     ) {
         let mut world = World::new(true);
         world.order = order;
-        world.run(40, |_, _| Fate::Up);
-        let lost_both = [world.holder().unwrap_or_default(), lost];
-        let terms = Timings::default();
-        let longest = terms.silence + terms.stagger * PROCESSES as u32 + terms.gap;
+        world.run(40, |_, _| ProcessState::Up);
+        let lost = [world.holder().unwrap_or_default(), lost];
+        let timings = Timings::default();
+        let longest = timings.silence + timings.stagger * PROCESSES as u32 + timings.gap;
         let polls = outage.0 + outage.1 + (longest.as_millis() / POLL.as_millis()) as usize + 2;
 
-        let mut taken = false;
+        let mut replaced = false;
         for poll in 0..polls {
             world.run(1, |process, _| {
-                if lost_both.contains(&process) {
-                    Fate::Paused
+                if lost.contains(&process) {
+                    ProcessState::Paused
                 } else if within(poll, outage.0, outage.1) {
-                    Fate::Outage
+                    ProcessState::Outage
                 } else {
-                    Fate::Up
+                    ProcessState::Up
                 }
             });
             let holder = world.holder();
-            taken |= holder.is_some_and(|holder| !lost_both.contains(&holder));
+            replaced |= holder.is_some_and(|holder| !lost.contains(&holder));
         }
 
-        prop_assert!(taken, "{:?} after {polls} polls", world.lease());
+        prop_assert!(replaced, "{:?} after {polls} polls", world.lease());
     }
 }
 
@@ -260,20 +260,20 @@
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Fate {
+enum ProcessState {
     Up,
     /// The process does not run.
     Paused,
-    /// The process runs, and the log answers nobody.
+    /// The process runs, but the log does not respond.
     Outage,
 }
 
-/// Processes that poll one stream, each in its own fold.
+/// Processes that poll one stream, each with its own fold.
 struct World {
     log: Vec<(usize, Record)>,
     processes: Vec<Process>,
     ranks: [u32; PROCESSES],
-    /// Who polls first changes from poll to poll.
+    /// The process that polls first, for each poll in turn.
     order: Vec<usize>,
     polls: usize,
     live: bool,
@@ -306,23 +306,23 @@
         }
     }
 
-    fn run(&mut self, polls: usize, fate: impl Fn(usize, usize) -> Fate) {
+    fn run(&mut self, polls: usize, state_of: impl Fn(usize, usize) -> ProcessState) {
         for poll in 0..polls {
             self.now += POLL;
             let first = self.order[self.polls % self.order.len()];
             self.polls += 1;
             for turn in 0..PROCESSES {
                 let process = (first + turn) % PROCESSES;
-                self.poll(process, fate(process, poll));
+                self.poll(process, state_of(process, poll));
             }
         }
     }
 
-    fn poll(&mut self, index: usize, fate: Fate) {
-        if fate == Fate::Paused {
+    fn poll(&mut self, index: usize, state: ProcessState) {
+        if state == ProcessState::Paused {
             return;
         }
-        let up = fate == Fate::Up;
+        let up = state == ProcessState::Up;
         let process = &mut self.processes[index];
         if up {
             fold(&mut process.fold, &self.log, &mut process.read);
--- a/crates/tinbank-ledger/tests/ledger/soft.rs
+++ b/crates/tinbank-ledger/tests/ledger/local_state.rs
@@ -1,4 +1,4 @@
-//! Soft decisions: suspected items, and which records are old.
+//! State local to one process: items suspected of crashing engines, and the age of records.
 
 use std::time::Duration;
 
@@ -18,39 +18,39 @@
     two = { 2, Treatment::Alone },
     three = { 3, Treatment::GiveUp },
 )]
-fn an_item_in_flight_when_engines_die_is_tried_alone_then_given_up(
-    deaths: usize,
+fn an_item_in_flight_during_engine_crashes_is_sent_alone_and_then_fails(
+    crashes: usize,
     expected: Treatment,
 ) {
     let item = Key { job: 1, item: 1 };
     let mut suspects = Suspects::new(Policy::default());
 
-    for _ in 0..deaths {
-        suspects.engine_died([item]);
+    for _ in 0..crashes {
+        suspects.record_engine_crash([item]);
     }
 
     assert_eq!(suspects.treatment(item), expected);
 }
 
 #[test]
-fn a_neighbour_that_ends_is_no_longer_suspected() {
+fn an_item_that_ends_is_no_longer_suspected() {
     let (neighbour, culprit) = (Key { job: 1, item: 1 }, Key { job: 1, item: 2 });
     let mut suspects = Suspects::default();
-    suspects.engine_died([neighbour, culprit]);
+    suspects.record_engine_crash([neighbour, culprit]);
 
-    suspects.ended(neighbour);
-    suspects.engine_died([culprit]);
+    suspects.remove(neighbour);
+    suspects.record_engine_crash([culprit]);
 
     assert_eq!(suspects.treatment(neighbour), Treatment::Normal);
     assert_eq!(suspects.treatment(culprit), Treatment::Alone);
 }
 
 #[parameterized(
-    nothing_is_so_old = { 5, 0 },
+    no_record_before = { 5, 0 },
     up_to_a_mark = { 70, 1 },
-    the_last_before_an_idle_time = { 5_000, 4 },
+    all_records_after_an_idle_time = { 5_000, 4 },
 )]
-fn marks_know_what_is_old(asked: u64, expected: u64) {
+fn offset_before_covers_the_records_older_than_a_time(seconds: u64, expected: u64) {
     let mut marks = OffsetTimes::new(Duration::from_secs(60));
     for (offset, at) in [(0, 10), (1, 70), (2, 80), (3, 90)] {
         let stamp = Stamp {
@@ -60,13 +60,13 @@
         marks.record(offset, stamp, time(at));
     }
 
-    let before = marks.offset_before(time(asked));
+    let before = marks.offset_before(time(seconds));
 
     assert_eq!(before, expected);
 }
 
 #[test]
-fn a_stamp_from_a_fast_clock_does_not_make_a_record_young() {
+fn a_stamp_in_the_future_is_taken_as_the_time_of_the_read() {
     let mut marks = OffsetTimes::new(Duration::from_secs(60));
     let fast = Stamp {
         micros: micros(time(1_000_000)),
--- a/crates/tinbank-ledger/tests/ledger/main.rs
+++ b/crates/tinbank-ledger/tests/ledger/main.rs
@@ -1,5 +1,5 @@
-//! Tests of the fold of a work shard. `world` is a small log with hosts that crash, lag and write twice;
-//! `model` is the naive fold that they are checked against.
+//! Tests of the state machine of a work shard. `world` simulates a log with hosts that crash, lag and append duplicates;
+//! `model` is the reference implementation that it is checked against.
 
 mod arbitrary;
 mod claim_world;
@@ -8,8 +8,8 @@
 mod fold;
 mod interleaving;
 mod lease;
+mod local_state;
 mod model;
 mod placement;
 mod recovery;
-mod soft;
 mod world;
--- a/crates/tinbank-ledger/tests/ledger/model.rs
+++ b/crates/tinbank-ledger/tests/ledger/model.rs
@@ -1,4 +1,4 @@
-//! The naive fold: one pass over one shard's records, everything kept, no clever structure.
+//! Reference implementation of the fold: one pass over a shard's records, without indexes or expiry.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,7 +19,7 @@
 }
 
 impl Model {
-    pub fn of<'a>(log: impl IntoIterator<Item = &'a Envelope<work::Record>>) -> Self {
+    pub fn from_log<'a>(log: impl IntoIterator<Item = &'a Envelope<work::Record>>) -> Self {
         let mut model = Self::default();
         for envelope in log {
             model.apply(envelope);
@@ -32,11 +32,11 @@
             return;
         }
         for record in &envelope.records {
-            self.record(record);
+            self.apply_record(record);
         }
     }
 
-    /// Items of the chunks that run, by number.
+    /// Items of the released chunks, sorted by number.
     pub fn items(&self, job: id::Job) -> Vec<work::Item> {
         let Some(intake) = self.released.get(&job) else {
             return Vec::new();
@@ -53,7 +53,7 @@
             .collect()
     }
 
-    fn record(&mut self, record: &work::Record) {
+    fn apply_record(&mut self, record: &work::Record) {
         match record {
             work::Record::Chunk(chunk) => {
                 let key = (chunk.job, chunk.intake, chunk.chunk);
--- a/crates/tinbank-ledger/tests/ledger/recovery.rs
+++ b/crates/tinbank-ledger/tests/ledger/recovery.rs
@@ -1,4 +1,4 @@
-//! Checkpoints: parts, gaps, foreign contents.
+//! Checkpoints: parts, gaps, corrupt contents.
 
 use bytes::Bytes;
 use proptest::prelude::*;
@@ -14,12 +14,12 @@
 
 const CASES: u32 = 256;
 const MAX_BYTES: usize = 32;
-/// An offset behind all that the checkpoints here hold.
-const BEHIND: u64 = 100;
+/// An offset after all records that the checkpoints here cover.
+const AFTER_COVERED: u64 = 100;
 
 #[test]
-fn a_state_comes_back_from_its_parts() {
-    let shard = busy();
+fn a_state_is_restored_once_its_last_part_is_read() {
+    let shard = shard_with_work();
     let records = checkpoint::records(&shard, MAX_BYTES);
     let mut recovery = Recovery::new(0, SHARDS, 0);
 
@@ -27,52 +27,52 @@
         .iter()
         .map(|record| {
             recovery
-                .offer(BEHIND, &one(record.clone()))
-                .expect("it is readable")
+                .offer(AFTER_COVERED, &envelope_of(record.clone()))
+                .expect("the checkpoint must be readable")
         })
         .collect();
 
-    let (last, before) = found.split_last().expect("there are parts");
+    let (last, before) = found.split_last().expect("a state has parts");
     assert!(before.len() > 1 && before.iter().all(Option::is_none));
     assert_eq!(last.as_ref(), Some(&shard));
 }
 
 #[test]
 fn a_checkpoint_from_before_a_gap_is_not_used() {
-    let shard = busy();
+    let shard = shard_with_work();
     let mut recovery = Recovery::new(0, SHARDS, shard.next() + 1);
 
     let found = checkpoint::records(&shard, usize::MAX)
         .into_iter()
         .find_map(|record| {
             recovery
-                .offer(BEHIND, &one(record))
-                .expect("it is readable")
+                .offer(AFTER_COVERED, &envelope_of(record))
+                .expect("the checkpoint must be readable")
         });
 
     assert_eq!(found, None);
 }
 
 #[test]
-fn a_later_version_is_refused() {
+fn an_unsupported_version_is_rejected() {
     let mut recovery = Recovery::new(0, SHARDS, 0);
     let part = work::Checkpoint {
         version: checkpoint::VERSION + 1,
         ..part(Bytes::new())
     };
 
-    let found = recovery.offer(BEHIND, &one(Record::Checkpoint(part)));
+    let found = recovery.offer(AFTER_COVERED, &envelope_of(Record::Checkpoint(part)));
 
     assert_eq!(found, Err(Error::Version(checkpoint::VERSION + 1)));
 }
 
 #[test]
-fn the_fold_knows_a_checkpoint_once_all_its_parts_are_there() {
-    let mut shard = busy();
+fn the_fold_records_a_checkpoint_once_all_its_parts_were_read() {
+    let mut shard = shard_with_work();
     let through = shard.next() - 1;
     let records = checkpoint::records(&shard, MAX_BYTES);
     let first = shard.next();
-    let (last, before) = records.split_last().expect("there are parts");
+    let (last, before) = records.split_last().expect("a state has parts");
 
     append(&mut shard, before.to_vec());
     let incomplete = shard.checkpoint();
@@ -90,8 +90,8 @@
 }
 
 #[test]
-fn a_carried_chunk_moves_and_a_stale_copy_of_it_does_not() {
-    let mut shard = busy();
+fn a_carried_chunk_moves_once_and_a_stale_copy_is_ignored() {
+    let mut shard = shard_with_work();
     let through = shard.next() - 1;
     let carried = Record::Carried(work::Carried {
         through,
@@ -100,27 +100,27 @@
     });
 
     append(&mut shard, vec![carried.clone()]);
-    let (once, stands) = (oldest(&shard), body(&shard));
+    let (oldest, body) = (oldest_offset(&shard), body_offset(&shard));
     append(&mut shard, vec![carried]);
 
-    assert_eq!((once, stands), (through + 1, through + 1));
-    assert_eq!((oldest(&shard), body(&shard)), (once, stands));
+    assert_eq!((oldest, body), (through + 1, through + 1));
+    assert_eq!((oldest_offset(&shard), body_offset(&shard)), (oldest, body));
 }
 
 proptest! {
     #![proptest_config(property::config(CASES))]
 
     #[test]
-    fn foreign_contents_give_an_error_and_no_panic(state in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_contents_are_rejected_without_panic(state in prop::collection::vec(any::<u8>(), 0..200)) {
         let mut recovery = Recovery::new(0, SHARDS, 0);
 
-        let found = recovery.offer(BEHIND, &one(Record::Checkpoint(part(state.into()))));
+        let found = recovery.offer(AFTER_COVERED, &envelope_of(Record::Checkpoint(part(state.into()))));
 
         prop_assert!(found.is_err() || found.is_ok_and(|shard| shard.is_some()));
     }
 }
 
-fn busy() -> Shard {
+fn shard_with_work() -> Shard {
     let mut shard = Shard::new(0, SHARDS);
     let head = fixture::head(1, 1, 4, 1, 1);
     let release = duty::release(&head, head.shards[0], SHARDS);
@@ -133,11 +133,11 @@
     shard
 }
 
-fn oldest(shard: &Shard) -> u64 {
+fn oldest_offset(shard: &Shard) -> u64 {
     shard.work(1).expect("the job is known").chunks()[0].oldest()
 }
 
-fn body(shard: &Shard) -> u64 {
+fn body_offset(shard: &Shard) -> u64 {
     let work = shard.work(1).expect("the job is known");
     work.chunks()[0].place().offset
 }
@@ -152,7 +152,7 @@
     }
 }
 
-fn one(record: Record) -> Envelope<Record> {
+fn envelope_of(record: Record) -> Envelope<Record> {
     fixture::envelope(writer(1, 1), 1, 1, vec![record])
 }
 
--- a/crates/tinbank-ledger/tests/ledger/world.rs
+++ b/crates/tinbank-ledger/tests/ledger/world.rs
@@ -1,5 +1,5 @@
-//! A small deployment: two shards, three hosts. Each host folds as much of the log as it has read, and acts on
-//! that, however stale it is.
+//! Simulated deployment of two shards and three hosts. Each host acts on the part of the log that it has read, however
+//! stale it is.
 
 use std::{
     collections::BTreeSet,
@@ -30,7 +30,7 @@
 const RETRY: Duration = Duration::from_secs(1);
 const ROUNDS: usize = 40;
 
-/// One shard's stream. Nothing is really deleted, so that the naive model can be asked about all of it.
+/// One shard's stream. Trimmed records are hidden, not deleted, since the reference model reads all of them.
 #[derive(Default)]
 pub struct Log {
     pub envelopes: Vec<Envelope<work::Record>>,
@@ -52,7 +52,7 @@
     pub folds: [Shard; SHARDS as usize],
     duties: [Duties; SHARDS as usize],
     flights: Vec<Flight>,
-    /// Items sent by this start, so that they are not sent again while their completion is not read back.
+    /// Items sent by this incarnation, which must not be sent again before their completion is read back.
     sent: BTreeSet<(id::Job, id::Item)>,
 }
 
@@ -72,7 +72,7 @@
     now: Instant,
     seconds: u64,
     intakes: u64,
-    starts: u64,
+    incarnations: u64,
 }
 
 impl World {
@@ -87,17 +87,17 @@
             now,
             seconds: 0,
             intakes: 0,
-            starts: 1,
+            incarnations: 1,
         }
     }
 
-    /// Time passes, so that retries come due.
-    pub fn pass(&mut self, seconds: u64) {
+    /// Advances the clock, so that retries become due.
+    pub fn advance_time(&mut self, seconds: u64) {
         self.now += Duration::from_secs(seconds);
         self.seconds += seconds;
     }
 
-    /// Takes in a job, or only its first few records: the host is lost, or the client gives up.
+    /// Appends the first `steps` records of a job: fewer than all if the host is lost or the client disconnects.
     pub fn intake(&mut self, host: usize, job: id::Job, steps: usize) {
         self.intakes += 1;
         let intake = self.intakes;
@@ -139,8 +139,8 @@
         }
     }
 
-    /// Tries to take the lease, by what the host has read.
-    pub fn take(&mut self, host: usize, shard: id::Shard) {
+    /// Tries to take the lease, based on the records that the host has read.
+    pub fn take_lease(&mut self, host: usize, shard: id::Shard) {
         let fold = &self.hosts[host].folds[usize::from(shard)];
         let take = lease::Lease::Take {
             epoch: fold.lease().epoch + 1,
@@ -149,14 +149,14 @@
         self.append(host, shard, vec![work::Record::Lease(take)]);
     }
 
-    pub fn give_back(&mut self, host: usize, shard: id::Shard) {
+    pub fn release_lease(&mut self, host: usize, shard: id::Shard) {
         if let Some(epoch) = self.term(host, shard) {
             let release = lease::Lease::Release { epoch };
             self.append(host, shard, vec![work::Record::Lease(release)]);
         }
     }
 
-    /// Appends the owner's duties, of which only `limit` get through.
+    /// Appends the first `limit` of the owner's due duties.
     pub fn duties(&mut self, host: usize, shard: id::Shard, limit: usize) {
         let (now, index) = (self.now, usize::from(shard));
         let this = &mut self.hosts[host];
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Up to `limit` items in flight come back; those of one shard are appended together.
+    /// Completes up to `limit` items in flight, with one append for each shard.
     pub fn finish(&mut self, host: usize, limit: usize) {
         let this = &mut self.hosts[host];
         let count = limit.min(this.flights.len());
@@ -222,8 +222,8 @@
         }
     }
 
-    /// A host that believes in itself does its whole round in both shards, or only the first `phases` steps of it.
-    pub fn turn(&mut self, host: usize, phases: usize) {
+    /// Runs the first `phases` steps of the work of an owner in both shards.
+    pub fn full_round(&mut self, host: usize, phases: usize) {
         for shard in 0..SHARDS {
             for phase in 0..phases {
                 self.phase(host, shard, phase);
@@ -233,7 +233,7 @@
 
     fn phase(&mut self, host: usize, shard: id::Shard, phase: usize) {
         match phase {
-            1 if self.term(host, shard).is_none() => self.take(host, shard),
+            1 if self.term(host, shard).is_none() => self.take_lease(host, shard),
             1 => {}
             3 => self.duties(host, shard, usize::MAX),
             5 | 7 => self.run(host, shard, usize::MAX),
@@ -252,14 +252,14 @@
         }
     }
 
-    /// The host is lost and started again, with nothing but the log.
+    /// Restarts the host without state.
     pub fn restart(&mut self, host: usize) {
-        self.starts += 1;
-        self.hosts[host] = new_host(host, self.starts);
+        self.incarnations += 1;
+        self.hosts[host] = new_host(host, self.incarnations);
     }
 
-    /// An append whose answer was lost takes effect once more, late.
-    pub fn copy(&mut self, shard: id::Shard, pick: usize) {
+    /// Appends a duplicate of an earlier envelope, as a retry after a lost response does.
+    pub fn duplicate(&mut self, shard: id::Shard, pick: usize) {
         let log = &mut self.logs[usize::from(shard)];
         if !log.envelopes.is_empty() {
             let copy = log.envelopes[pick % log.envelopes.len()].clone();
@@ -267,7 +267,7 @@
         }
     }
 
-    /// Carries forward what stands before the host's place, and writes a checkpoint.
+    /// Carries forward all chunks that the host has read, and appends the first `parts` parts of a checkpoint.
     pub fn checkpoint(&mut self, host: usize, shard: id::Shard, parts: usize) {
         let log = &self.logs[usize::from(shard)];
         let fold = &self.hosts[host].folds[usize::from(shard)];
@@ -281,7 +281,7 @@
                 let body =
                     result::chunk_at(log.get(carry.chunk.place().offset)?, carry.chunk.place())?;
                 let results = envelopes(log, carry.chunk)?;
-                // As for results that are too large for one record.
+                // Odd chunks move their results separately, as is done if they are too large for one record.
                 if carry.chunk.chunk % 2 == 1 {
                     let moved = carry.chunk.results().iter().zip(results);
                     let moved = moved.map(|(from, result)| result::moved(&carry, *from, result));
@@ -301,7 +301,7 @@
         }
     }
 
-    /// Retention takes what is not needed any more.
+    /// Trims the records that are not needed any more.
     pub fn trim(&mut self, shard: id::Shard) {
         let log = &self.logs[usize::from(shard)];
         let mut fold = recover(shard, log);
@@ -318,14 +318,14 @@
         log.first = log.first.max(first as usize);
     }
 
-    /// One host does all that is left to do.
+    /// Runs one host until all work is done.
     pub fn settle(&mut self, host: usize) {
         for _ in 0..ROUNDS {
-            self.pass(2);
+            self.advance_time(2);
             for shard in 0..SHARDS {
                 self.read(host, shard, usize::MAX);
                 if self.term(host, shard).is_none() {
-                    self.take(host, shard);
+                    self.take_lease(host, shard);
                 }
                 self.read(host, shard, usize::MAX);
                 self.duties(host, shard, usize::MAX);
@@ -335,7 +335,7 @@
         }
     }
 
-    /// A fold of all that a new host can read of a shard.
+    /// Returns the fold of the records of a shard that a new host can read.
     pub fn fold(&self, shard: id::Shard) -> Shard {
         let log = &self.logs[usize::from(shard)];
         let mut fold = recover(shard, log);
@@ -343,14 +343,14 @@
         fold
     }
 
-    /// A fold of everything that was ever appended.
+    /// Returns the fold of all records ever appended to a shard.
     pub fn full_fold(&self, shard: id::Shard) -> Shard {
         let mut fold = Shard::new(shard, SHARDS);
         catch_up_from(&mut fold, &self.logs[usize::from(shard)].envelopes);
         fold
     }
 
-    /// Results as a caller reads them: item number, its name, how it ended.
+    /// Returns item number, custom id and outcome of all items, as a caller reads them.
     pub fn results(
         &self,
         fold: &Shard,
@@ -361,9 +361,9 @@
         chunks
             .iter()
             .flat_map(|chunk| {
-                let envelope = log.get(chunk.place().offset).expect("bodies are kept");
-                let body = result::chunk_at(envelope, chunk.place()).expect("a chunk stands there");
-                let results = envelopes(log, chunk).expect("results are kept");
+                let envelope = log.get(chunk.place().offset).expect("bodies must not be trimmed");
+                let body = result::chunk_at(envelope, chunk.place()).expect("the record must be a chunk");
+                let results = envelopes(log, chunk).expect("results must not be trimmed");
                 let outcomes = result::outcomes(body, chunk, results);
                 (chunk.first..).zip(outcomes).map(|(item, outcome)| {
                     let ended = outcome.completion.map(|completion| completion.outcome);
@@ -383,7 +383,7 @@
                 let items = body.map_or(&[][..], |body| &body.items);
                 ready.chunk.pending_items().filter_map(move |item| {
                     let body = items.get((item - ready.chunk.first) as usize)?;
-                    assert!(!body.body.is_empty(), "a pending item has its body");
+                    assert!(!body.body.is_empty(), "a pending item must have its body");
                     let item = Item {
                         chunk: ready.chunk.chunk,
                         item,
@@ -410,9 +410,9 @@
     }
 }
 
-fn new_host(host: usize, start: u64) -> Host {
+fn new_host(host: usize, incarnation: u64) -> Host {
     Host {
-        writer: fixture::writer(host as id::Host, start),
+        writer: fixture::writer(host as id::Host, incarnation),
         sequences: Default::default(),
         folds: [Shard::new(0, SHARDS), Shard::new(1, SHARDS)],
         duties: [Duties::new(RETRY), Duties::new(RETRY)],
@@ -421,7 +421,7 @@
     }
 }
 
-/// What a host does that finds that the records it wants are gone.
+/// Recovers from a checkpoint if the oldest records were trimmed.
 fn recover(shard: id::Shard, log: &Log) -> Shard {
     if log.first == 0 {
         return Shard::new(shard, SHARDS);
@@ -431,9 +431,9 @@
         .zip(&log.envelopes[log.first..])
         .find_map(|(offset, envelope)| {
             let found = recovery.offer(offset, envelope);
-            found.expect("checkpoints are readable")
+            found.expect("checkpoints must be readable")
         })
-        .expect("retention left a checkpoint")
+        .expect("a trimmed log must contain a checkpoint")
 }
 
 fn catch_up(fold: &mut Shard, log: &Log) {
