--- a/crates/tinbank-peer/src/clock.rs
+++ b/crates/tinbank-peer/src/clock.rs
@@ -1,4 +1,4 @@
-//! The border to the recorder's hybrid clock.
+//! Interface to the hybrid logical clock of the timeline recorder.
 
 use std::fmt;
 
@@ -8,16 +8,16 @@
 };
 use tinbank_timeline::Recorder;
 
-/// Stamps what is sent and takes in the stamps of what is received, so that the time line never shows an answer
-/// before its question. See `docs/design/timeline.md`.
+/// Stamps sent frames and observes the stamps of received ones, so that the timeline orders every response after its
+/// request. See `docs/design/timeline.md`.
 pub trait Clock: Send + Sync + fmt::Debug {
-    /// Stamps a frame that is about to be sent.
+    /// Returns the stamp of a frame that is about to be sent.
     fn stamp(&self) -> Stamp;
 
-    /// Takes in the stamp of a frame that was received.
+    /// Advances the clock to the stamp of a received frame.
     fn observe(&self, stamp: Stamp);
 
-    /// Notes an event about a peer, where there is a time line to note it in.
+    /// Records an event about a peer in the timeline. Ignored by clocks without a timeline.
     fn note(&self, _subject: Subject, _kind: Kind) {}
 }
 
--- a/crates/tinbank-peer/src/endpoint.rs
+++ b/crates/tinbank-peer/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! The endpoint: one port number for UDP and TCP.
+//! Peer endpoint that serves UDP and TCP on the same port number.
 
 use std::{
     fmt, io,
@@ -34,56 +34,56 @@
     stream::{client::Pool, server::Server},
 };
 
-/// Tries to find a port that is free for UDP and TCP alike when the settings name none.
-const PORT_TRIES: usize = 16;
-/// Heartbeats that wait for the control thread; more are dropped, as a network would.
-const HEARD_WAITING: usize = 1_024;
+/// Attempts to find a port that is free for both UDP and TCP, if the settings give port 0.
+const MAX_PORT_ATTEMPTS: usize = 16;
+/// Queue length of received heartbeats. More are dropped, which is equivalent to loss on the network.
+const HEARTBEAT_QUEUE_LENGTH: usize = 1_024;
 
-/// What an endpoint needs to know.
+/// Settings of an endpoint.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Address that peers send to; never an unspecified one, for frames are signed for their receiver's address.
-    /// Port 0 takes any port that is free for both protocols.
+    /// Address that peers send to. Must not be unspecified, since frames are signed for the address of their receiver.
+    /// Port 0 selects any port that is free for both protocols.
     pub address: SocketAddr,
-    /// Who we are.
+    /// Identity of this process, sent with every frame.
     pub writer: Writer,
-    /// Keys that are accepted; the first one signs.
+    /// Accepted keys. The first one signs.
     pub keys: Keys,
     /// Clock that stamps frames.
     pub clock: Arc<dyn Clock>,
 }
 
-/// Why an endpoint could not be opened.
+/// Error opening an endpoint.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The address can't be used.
-    #[error("peers can't be served at {address}: {source}")]
+    /// The address can't be bound.
+    #[error("can't bind peer address {address} for TCP and UDP: {source}")]
     Bind {
-        /// The address in the settings.
+        /// Address in the settings.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The address names no interface.
+    /// The address is unspecified.
     #[error(
-        "peers can't be served at {0}: give the host's own address, since frames are signed for it"
+        "peer address {0} is unspecified: set the host's own address, since frames are signed for it"
     )]
     Unspecified(SocketAddr),
-    /// No key to sign with.
+    /// The settings contain no key.
     #[error("no peer key is given: frames between processes must be signed")]
     NoKey,
 }
 
-/// A heartbeat that was received.
+/// A heartbeat received from a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedHeartbeat {
-    /// Who sent it; its MAC and sequence are checked.
+    /// Sender, verified by the MAC of the frame.
     pub from: Writer,
-    /// What it says.
+    /// Contents of the heartbeat.
     pub heartbeat: Heartbeat,
 }
 
-/// Sends and receives frames at one address. Clones share the sockets, which close with the last clone or at
+/// Sends and receives frames at one address. Clones share the sockets, which are closed with the last clone or by
 /// [`Endpoint::close`].
 #[derive(Clone)]
 pub struct Endpoint {
@@ -97,12 +97,12 @@
     loss_percent: AtomicU8,
     pool: Pool,
     answer: Arc<OnceLock<Arc<dyn Answer>>>,
-    heard: std::sync::Mutex<Option<mpsc::Receiver<ReceivedHeartbeat>>>,
+    heartbeats: std::sync::Mutex<Option<mpsc::Receiver<ReceivedHeartbeat>>>,
     stop: CancellationToken,
     _stop_on_drop: DropGuard,
 }
 
-/// Who signs and stamps.
+/// Identity, keys and clock of this process, shared by all senders and receivers.
 #[derive(Debug)]
 pub(crate) struct Identity {
     pub(crate) writer: Writer,
@@ -116,13 +116,12 @@
         &self.keys[0]
     }
 
-    fn next(&self) -> u64 {
+    fn next_sequence(&self) -> u64 {
         self.sequence.fetch_add(1, Ordering::Relaxed) + 1
     }
 }
 
 impl Settings {
-    /// Frames are signed, and signed for one address.
     fn check(&self) -> Result<(), Error> {
         if self.address.ip().is_unspecified() {
             return Err(Error::Unspecified(self.address));
@@ -135,10 +134,10 @@
 }
 
 impl Endpoint {
-    /// Binds both protocols and starts to receive. Requests wait until [`Endpoint::serve`] says who answers them.
+    /// Binds both protocols and starts to receive. Requests are rejected as not ready until [`Endpoint::serve`] is called.
     ///
     /// # Errors
-    /// When the address is unspecified or taken, or there is no key.
+    /// Returns an error if the address is unspecified or in use, or if there is no key.
     pub async fn bind(settings: Settings) -> Result<Self, Error> {
         settings.check()?;
         let Settings {
@@ -147,7 +146,7 @@
             keys,
             clock,
         } = settings;
-        let (tcp, udp) = open(address)
+        let (tcp, udp) = bind_same_port(address)
             .await
             .map_err(|source| Error::Bind { address, source })?;
         let address = udp
@@ -162,9 +161,9 @@
         let udp = Arc::new(udp);
         let answer = Arc::new(OnceLock::new());
         let stop = CancellationToken::new();
-        let (hear, heard) = mpsc::channel(HEARD_WAITING);
+        let (heartbeat_sender, heartbeats) = mpsc::channel(HEARTBEAT_QUEUE_LENGTH);
 
-        let receiver = Receiver::new(address, identity.clone(), answer.clone(), hear);
+        let receiver = Receiver::new(address, identity.clone(), answer.clone(), heartbeat_sender);
         tokio::spawn(receiver.run(udp.clone(), stop.clone()));
         let server = Server::new(identity.clone(), answer.clone(), stop.clone());
         tokio::spawn(server.run(tcp));
@@ -177,7 +176,7 @@
                 udp,
                 loss_percent: AtomicU8::new(0),
                 answer,
-                heard: std::sync::Mutex::new(Some(heard)),
+                heartbeats: std::sync::Mutex::new(Some(heartbeats)),
                 _stop_on_drop: stop.clone().drop_guard(),
                 stop,
             }),
@@ -189,44 +188,44 @@
         self.shared.address
     }
 
-    /// Who we are to peers.
+    /// Identity of this process, as sent to peers.
     pub fn writer(&self) -> Writer {
         self.shared.identity.writer
     }
 
-    /// The clock that stamps frames, with the time line behind it.
+    /// The clock that stamps frames and records events in the timeline.
     pub fn clock(&self) -> &dyn Clock {
         &*self.shared.identity.clock
     }
 
-    /// Says who answers requests and takes in datagrams about credits. Only the first call counts.
+    /// Sets the handler of requests and of datagrams about credits and limits. Only the first call has an effect.
     pub fn serve(&self, answer: Arc<dyn Answer>) {
         if self.shared.answer.set(answer).is_err() {
-            log::error!(event = "peer_served_twice"; "an endpoint was given a second answerer");
+            log::error!(event = "peer_served_twice"; "ignored a second request handler for the peer endpoint");
         }
     }
 
-    /// The heartbeats received; `None` after the first call, since membership alone takes them.
+    /// Returns the queue of received heartbeats, or `None` after the first call: it has a single consumer.
     pub fn heartbeats(&self) -> Option<mpsc::Receiver<ReceivedHeartbeat>> {
-        let mut heard = self
+        let mut heartbeats = self
             .shared
-            .heard
+            .heartbeats
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner());
-        heard.take()
+        heartbeats.take()
     }
 
-    /// Sends a heartbeat and returns its size in bytes. It may be lost.
+    /// Sends a heartbeat and returns the size of its frame in bytes, or 0 if it was not sent. It may be lost.
     pub fn send_heartbeat(&self, to: SocketAddr, heartbeat: Heartbeat) -> usize {
         self.send(to, Body::Heartbeat(Box::new(heartbeat)))
     }
 
-    /// Loses so many in 100 datagrams that this endpoint sends, as a bad network does, so that the harm can be measured.
+    /// Drops the given percentage of sent datagrams, to measure the effect of a lossy network.
     pub fn simulate_loss(&self, percent: u8) {
         self.shared.loss_percent.store(percent, Ordering::Relaxed);
     }
 
-    /// Closes the sockets and breaks off open requests.
+    /// Closes the sockets and aborts open requests.
     pub fn close(&self) {
         self.shared.stop.cancel();
     }
@@ -235,7 +234,7 @@
         let identity = &self.shared.identity;
         let datagram = Datagram {
             sender: identity.writer,
-            sequence: identity.next(),
+            sequence: identity.next_sequence(),
             stamp: identity.clock.stamp(),
             body,
         };
@@ -258,18 +257,18 @@
 }
 
 /// Binds TCP and UDP to the same port.
-async fn open(address: SocketAddr) -> io::Result<(TcpListener, UdpSocket)> {
-    let mut tries = 0;
+async fn bind_same_port(address: SocketAddr) -> io::Result<(TcpListener, UdpSocket)> {
+    let mut attempts = 0;
     loop {
         let tcp = TcpListener::bind(address).await?;
         match UdpSocket::bind(tcp.local_addr()?).await {
             Ok(udp) => {
-                // Before the first readiness event `try_send_to` would drop what it is given.
+                // Before the first readiness event, `try_send_to` fails and the datagram would be lost.
                 udp.writable().await?;
                 return Ok((tcp, udp));
             }
-            Err(error) if address.port() != 0 || tries == PORT_TRIES => return Err(error),
-            Err(_) => tries += 1,
+            Err(error) if address.port() != 0 || attempts == MAX_PORT_ATTEMPTS => return Err(error),
+            Err(_) => attempts += 1,
         }
     }
 }
--- a/crates/tinbank-peer/src/lib.rs
+++ b/crates/tinbank-peer/src/lib.rs
@@ -1,4 +1,4 @@
-//! Moves frames between processes: UDP datagrams and TCP requests, each with a keyed MAC.
+//! Sends and receives authenticated frames between processes, as UDP datagrams and TCP requests.
 //!
 //! See `docs/design/peers.md`.
 
--- a/crates/tinbank-peer/src/receive.rs
+++ b/crates/tinbank-peer/src/receive.rs
@@ -1,4 +1,4 @@
-//! Receives datagrams: checks, counts, passes on.
+//! Receives datagrams: verifies them and delivers them to their handlers.
 
 use std::{
     collections::HashMap,
@@ -20,20 +20,22 @@
 
 use crate::{ReceivedHeartbeat, Window, endpoint::Identity};
 
-/// Senders remembered for replay protection. Far more than processes in a deployment; a sender needs a key to be one.
+/// Limit of the senders tracked for replay protection, far above the number of processes in a deployment. Only senders
+/// that hold a key are tracked.
 const MAX_SENDERS: usize = 8_192;
 
-/// Why a datagram was dropped.
+/// Reason for dropping a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Drop {
+enum DropReason {
     TooLarge,
     Frame(datagram::Error),
     Replay,
     OwnFrame,
 }
 
-impl Drop {
-    fn reason(self) -> &'static str {
+impl DropReason {
+    /// Value of the `reason` label in the metric of dropped datagrams.
+    fn label(self) -> &'static str {
         match self {
             Self::TooLarge => "too_large",
             Self::Frame(datagram::Error::Short) => "short",
@@ -52,7 +54,7 @@
     identity: Arc<Identity>,
     senders: HashMap<id::Process, (id::Incarnation, Window)>,
     answer: Arc<OnceLock<Arc<dyn Answer>>>,
-    hear: mpsc::Sender<ReceivedHeartbeat>,
+    heartbeat_sender: mpsc::Sender<ReceivedHeartbeat>,
 }
 
 impl Receiver {
@@ -60,31 +62,31 @@
         address: SocketAddr,
         identity: Arc<Identity>,
         answer: Arc<OnceLock<Arc<dyn Answer>>>,
-        hear: mpsc::Sender<ReceivedHeartbeat>,
+        heartbeat_sender: mpsc::Sender<ReceivedHeartbeat>,
     ) -> Self {
         Self {
             address,
             identity,
             senders: HashMap::new(),
             answer,
-            hear,
+            heartbeat_sender,
         }
     }
 
     pub(crate) async fn run(mut self, udp: Arc<UdpSocket>, stop: CancellationToken) {
-        // One byte more than the largest frame, so that a longer one is seen to be too large.
+        // One byte more than the largest frame, so that a longer datagram is detected instead of truncated.
         let mut buffer = [0; MAX_BYTES + 1];
         loop {
             let received = tokio::select! {
                 received = udp.recv_from(&mut buffer) => received,
                 () = stop.cancelled() => return,
             };
-            // Errors of earlier sends (port unreachable) are reported here; they are no reason to stop.
+            // Errors of earlier sends, such as an unreachable port, are reported here and can be ignored.
             let Ok((size, _)) = received else { continue };
             match self.check(&buffer[..size]) {
-                Ok(datagram) => self.pass(datagram),
+                Ok(datagram) => self.deliver(datagram),
                 Err(drop) => {
-                    let reason = drop.reason();
+                    let reason = drop.label();
                     metrics::counter!("tinbank_peer_dropped_total", "reason" => reason)
                         .increment(1);
                 }
@@ -92,17 +94,17 @@
         }
     }
 
-    fn check(&mut self, bytes: &[u8]) -> Result<Datagram, Drop> {
+    fn check(&mut self, bytes: &[u8]) -> Result<Datagram, DropReason> {
         if bytes.len() > MAX_BYTES {
-            return Err(Drop::TooLarge);
+            return Err(DropReason::TooLarge);
         }
         let datagram: Datagram =
-            open_for(bytes, &self.identity.keys, self.address).map_err(Drop::Frame)?;
+            open_for(bytes, &self.identity.keys, self.address).map_err(DropReason::Frame)?;
         if datagram.sender.process == self.identity.writer.process {
-            return Err(Drop::OwnFrame);
+            return Err(DropReason::OwnFrame);
         }
         if !self.admit(datagram.sender, datagram.sequence) {
-            return Err(Drop::Replay);
+            return Err(DropReason::Replay);
         }
         Ok(datagram)
     }
@@ -111,28 +113,28 @@
         if self.senders.len() >= MAX_SENDERS && !self.senders.contains_key(&sender.process) {
             return false;
         }
-        let known = self
+        let sender_state = self
             .senders
             .entry(sender.process)
             .or_insert((sender.incarnation, Window::default()));
-        if sender.incarnation < known.0 {
+        if sender.incarnation < sender_state.0 {
             return false;
         }
-        if sender.incarnation > known.0 {
-            *known = (sender.incarnation, Window::default());
+        if sender.incarnation > sender_state.0 {
+            *sender_state = (sender.incarnation, Window::default());
         }
-        known.1.admit(sequence)
+        sender_state.1.admit(sequence)
     }
 
-    fn pass(&self, datagram: Datagram) {
+    fn deliver(&self, datagram: Datagram) {
         self.identity.clock.observe(datagram.stamp);
         match datagram.body {
             Body::Heartbeat(heartbeat) => {
-                let heard = ReceivedHeartbeat {
+                let received = ReceivedHeartbeat {
                     from: datagram.sender,
                     heartbeat: *heartbeat,
                 };
-                if self.hear.try_send(heard).is_err() {
+                if self.heartbeat_sender.try_send(received).is_err() {
                     metrics::counter!("tinbank_peer_dropped_total", "reason" => "not_taken")
                         .increment(1);
                 }
--- a/crates/tinbank-peer/src/replay.rs
+++ b/crates/tinbank-peer/src/replay.rs
@@ -1,11 +1,11 @@
-//! Replay protection: which frames of a sender have been seen.
+//! Replay protection for datagrams.
 
-/// Frames that may overtake each other and still count.
+/// Width of the window in sequences: how far frames may be reordered and still be accepted.
 const WIDTH: u64 = 128;
 
-/// Sequences seen of one sender: a sliding window below the largest one.
+/// Sliding window over the sequences seen from one sender, ending at the largest one.
 ///
-/// A sequence that is older than the window counts as seen, for nothing is known of it any more.
+/// Sequences older than the window are treated as seen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Window {
     largest: u64,
@@ -13,7 +13,7 @@
 }
 
 impl Window {
-    /// Notes a sequence and tells whether it is new.
+    /// Records a sequence and returns whether it is new.
     pub fn admit(&mut self, sequence: u64) -> bool {
         if sequence > self.largest {
             self.slide(sequence - self.largest);
--- a/crates/tinbank-peer/src/stream/client.rs
+++ b/crates/tinbank-peer/src/stream/client.rs
@@ -1,4 +1,4 @@
-//! The asking side: pooled connections, one exchange at a time on each.
+//! Client side: pooled connections, each with one request at a time.
 
 use std::{
     collections::HashMap,
@@ -14,20 +14,20 @@
 use tokio::{io::AsyncWriteExt, net::TcpStream, time::timeout_at};
 
 use super::frame::{
-    self, Ask, GREETING_WITHIN, Hello, MAX_FRAME, MAX_GREETING, Nonce, Place, Reply, Welcome,
+    self, RequestFrame, HANDSHAKE_TIMEOUT, Hello, MAX_FRAME, MAX_HANDSHAKE_FRAME, Nonce, Position, ResponseFrame, Welcome,
 };
 use crate::endpoint::Identity;
 
-/// Idle connections kept for one peer.
-const MAX_IDLE: usize = 4;
-/// Peers with idle connections; a host talks often to few of the others.
-const MAX_PEERS: usize = 256;
-/// How long an idle connection is kept; shorter than the answerer's, so that it is we who close it.
-const IDLE_FOR: Duration = Duration::from_secs(20);
-/// Bytes of one whole answer, so that no peer can fill our memory.
-const MAX_ANSWER: usize = 64 << 20;
+/// Limit of idle connections for each peer.
+const MAX_IDLE_PER_PEER: usize = 4;
+/// Limit of peers with idle connections.
+const MAX_IDLE_PEERS: usize = 256;
+/// Time after which an idle connection is closed. Shorter than the server's, so that the client closes first.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Largest response in bytes over all its frames, so that a peer can't exhaust the memory of this process.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// Connections by peer.
+/// Pool of idle connections by peer address.
 pub(crate) struct Pool {
     identity: Arc<Identity>,
     idle: Mutex<HashMap<SocketAddr, Vec<Idle>>>,
@@ -40,16 +40,16 @@
 
 struct Connection {
     tcp: TcpStream,
-    asker: Nonce,
-    answerer: Nonce,
+    client_nonce: Nonce,
+    server_nonce: Nonce,
     exchange: u64,
 }
 
-/// How an exchange failed, seen from what the peer can have.
+/// Failure of a request, by whether the peer may have received it.
 enum Failure {
-    /// The peer can't have the whole request.
+    /// The peer did not receive the whole request, so it did not run it.
     NotSent(frame::Error),
-    /// The peer may have run it.
+    /// The peer may have run the request.
     Sent(frame::Error),
 }
 
@@ -61,28 +61,28 @@
         }
     }
 
-    /// Asks over a pooled connection, or a new one if none is left or it proves dead before the request was sent.
+    /// Sends a request over an idle connection, or over a new one if there is none or all fail before the request was sent.
     pub(crate) async fn ask(
         &self,
         to: SocketAddr,
         request: Request,
         until: Instant,
     ) -> Result<Vec<Response>, peer::Error> {
-        while let Some(connection) = self.take(to) {
-            match self.exchange(connection, to, &request, until).await {
+        while let Some(connection) = self.take_idle(to) {
+            match self.send_request(connection, to, &request, until).await {
                 Err(Failure::NotSent(frame::Error::Io(_))) => {}
-                result => return report(to, result),
+                result => return count_failure(to, result),
             }
         }
         let connection = match self.connect(to, until).await {
             Ok(connection) => connection,
-            Err(error) => return report(to, Err(Failure::NotSent(error))),
+            Err(error) => return count_failure(to, Err(Failure::NotSent(error))),
         };
-        let result = self.exchange(connection, to, &request, until).await;
-        report(to, result)
+        let result = self.send_request(connection, to, &request, until).await;
+        count_failure(to, result)
     }
 
-    async fn exchange(
+    async fn send_request(
         &self,
         mut connection: Connection,
         to: SocketAddr,
@@ -96,7 +96,7 @@
             .receive(&mut connection, until)
             .await
             .map_err(Failure::Sent)?;
-        self.give_back(to, connection);
+        self.put_idle(to, connection);
         Ok(responses)
     }
 
@@ -110,14 +110,14 @@
         if left.is_zero() {
             return Err(Failure::NotSent(frame::Error::Deadline));
         }
-        let ask = Ask {
-            place: connection.place(0),
+        let request_frame = RequestFrame {
+            position: connection.position(0),
             sender: self.identity.writer,
             stamp: self.identity.clock.stamp(),
-            within_ms: u32::try_from(left.as_millis()).unwrap_or(u32::MAX),
+            timeout_ms: u32::try_from(left.as_millis()).unwrap_or(u32::MAX),
             request: request.clone(),
         };
-        frame::encode(&ask, self.identity.key()).map_err(Failure::NotSent)
+        frame::encode(&request_frame, self.identity.key()).map_err(Failure::NotSent)
     }
 
     async fn receive(
@@ -126,58 +126,58 @@
         until: Instant,
     ) -> Result<Vec<Response>, frame::Error> {
         let mut responses = Vec::new();
-        let mut room = MAX_ANSWER;
+        let mut remaining = MAX_RESPONSE_BYTES;
         loop {
-            let limit = room.min(MAX_FRAME);
-            let read = frame::read::<Reply>(&mut connection.tcp, &self.identity.keys, limit);
-            let (reply, size) = timeout_at(until.into(), read)
+            let limit = remaining.min(MAX_FRAME);
+            let read = frame::read::<ResponseFrame>(&mut connection.tcp, &self.identity.keys, limit);
+            let (frame, size) = timeout_at(until.into(), read)
                 .await
                 .map_err(|_| frame::Error::Deadline)??;
             let index = responses.len() as u32 + 1;
-            if reply.place != connection.place(index) {
-                return Err(frame::Error::Place);
+            if frame.position != connection.position(index) {
+                return Err(frame::Error::UnexpectedPosition);
             }
-            self.identity.clock.observe(reply.stamp);
-            room -= size;
-            responses.push(reply.response);
-            if reply.last {
+            self.identity.clock.observe(frame.stamp);
+            remaining -= size;
+            responses.push(frame.response);
+            if frame.last {
                 return Ok(responses);
             }
         }
     }
 
     async fn connect(&self, to: SocketAddr, until: Instant) -> Result<Connection, frame::Error> {
-        let greeting_until = until.min(Instant::now() + GREETING_WITHIN);
-        timeout_at(greeting_until.into(), self.greet(to))
+        let handshake_until = until.min(Instant::now() + HANDSHAKE_TIMEOUT);
+        timeout_at(handshake_until.into(), self.handshake(to))
             .await
             .map_err(|_| frame::Error::Deadline)?
     }
 
-    async fn greet(&self, to: SocketAddr) -> Result<Connection, frame::Error> {
+    async fn handshake(&self, to: SocketAddr) -> Result<Connection, frame::Error> {
         let mut tcp = TcpStream::connect(to).await?;
         tcp.set_nodelay(true)?;
-        let asker = rand::random::<Nonce>();
-        let hello = Hello { nonce: asker };
+        let client_nonce = rand::random::<Nonce>();
+        let hello = Hello { nonce: client_nonce };
         frame::write(&mut tcp, &hello, self.identity.key()).await?;
         let (welcome, _) =
-            frame::read::<Welcome>(&mut tcp, &self.identity.keys, MAX_GREETING).await?;
-        if welcome.asker != asker {
-            return Err(frame::Error::Place);
+            frame::read::<Welcome>(&mut tcp, &self.identity.keys, MAX_HANDSHAKE_FRAME).await?;
+        if welcome.client_nonce != client_nonce {
+            return Err(frame::Error::UnexpectedPosition);
         }
         Ok(Connection {
             tcp,
-            asker,
-            answerer: welcome.nonce,
+            client_nonce,
+            server_nonce: welcome.nonce,
             exchange: 0,
         })
     }
 
-    fn take(&self, to: SocketAddr) -> Option<Connection> {
+    fn take_idle(&self, to: SocketAddr) -> Option<Connection> {
         let now = Instant::now();
         let mut idle = self.lock();
         let connections = idle.get_mut(&to)?;
         while let Some(Idle { connection, until }) = connections.pop() {
-            if until > now && connection.is_quiet() {
+            if until > now && connection.is_reusable() {
                 return Some(connection);
             }
         }
@@ -185,20 +185,20 @@
         None
     }
 
-    fn give_back(&self, to: SocketAddr, connection: Connection) {
+    fn put_idle(&self, to: SocketAddr, connection: Connection) {
         let now = Instant::now();
         let mut idle = self.lock();
-        if idle.len() >= MAX_PEERS && !idle.contains_key(&to) {
+        if idle.len() >= MAX_IDLE_PEERS && !idle.contains_key(&to) {
             idle.retain(|_, connections| connections.iter().any(|idle| idle.until > now));
-            if idle.len() >= MAX_PEERS {
+            if idle.len() >= MAX_IDLE_PEERS {
                 return;
             }
         }
         let connections = idle.entry(to).or_default();
-        if connections.len() < MAX_IDLE {
+        if connections.len() < MAX_IDLE_PER_PEER {
             connections.push(Idle {
                 connection,
-                until: now + IDLE_FOR,
+                until: now + IDLE_TIMEOUT,
             });
         }
     }
@@ -211,22 +211,22 @@
 }
 
 impl Connection {
-    fn place(&self, index: u32) -> Place {
-        Place {
-            asker: self.asker,
-            answerer: self.answerer,
+    fn position(&self, index: u32) -> Position {
+        Position {
+            client_nonce: self.client_nonce,
+            server_nonce: self.server_nonce,
             exchange: self.exchange,
             index,
         }
     }
 
-    /// Whether the peer has neither closed the idle connection nor said anything out of turn.
-    fn is_quiet(&self) -> bool {
+    /// Returns whether the idle connection is open and has no unread data.
+    fn is_reusable(&self) -> bool {
         let read = self.tcp.try_read(&mut [0]);
         matches!(read, Err(error) if error.kind() == std::io::ErrorKind::WouldBlock)
     }
 
-    /// Writes a frame. If not all of it was taken the peer can never have the whole, and half a frame is never run.
+    /// Writes a frame. After an error the peer can't have the complete frame, so it never runs the request.
     async fn send(&mut self, frame: &[u8], until: Instant) -> Result<(), Failure> {
         timeout_at(until.into(), self.tcp.write_all(frame))
             .await
@@ -235,7 +235,8 @@
     }
 }
 
-fn report(
+/// Counts a failure in the metrics and converts it to the error of the caller.
+fn count_failure(
     to: SocketAddr,
     result: Result<Vec<Response>, Failure>,
 ) -> Result<Vec<Response>, peer::Error> {
--- a/crates/tinbank-peer/src/stream/frame.rs
+++ b/crates/tinbank-peer/src/stream/frame.rs
@@ -1,4 +1,4 @@
-//! Frames on a connection, and their way on and off the wire.
+//! Frames of a connection, and their encoding and decoding.
 
 use std::{io, time::Duration};
 
@@ -13,63 +13,63 @@
 };
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// Largest frame of the greeting, which comes before the other side has shown that it holds a key.
-pub(super) const MAX_GREETING: usize = 256;
-/// Largest frame of a request or an answer.
+/// Largest frame of the handshake, in bytes. Small, since the peer is not authenticated yet.
+pub(super) const MAX_HANDSHAKE_FRAME: usize = 256;
+/// Largest frame of a request or a response, in bytes.
 pub(super) const MAX_FRAME: usize = MAX_BYTES;
-/// Time that the other side has for its greeting.
-pub(super) const GREETING_WITHIN: Duration = Duration::from_secs(2);
-/// Bytes of the length in front of each frame.
+/// Time limit of the handshake.
+pub(super) const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Size of the length prefix of each frame.
 const LENGTH_BYTES: usize = 4;
 
-/// Drawn by each side for each connection.
+/// Random number chosen by each side for each connection.
 pub(super) type Nonce = u128;
 
-/// The asker's greeting.
+/// Handshake frame of the client.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(super) struct Hello {
     pub(super) nonce: Nonce,
 }
 
-/// The answerer's greeting: it names the asker's nonce, so it can't be a recorded one.
+/// Handshake frame of the server. Contains the client's nonce, so that a recorded frame can't be replayed.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(super) struct Welcome {
-    pub(super) asker: Nonce,
+    pub(super) client_nonce: Nonce,
     pub(super) nonce: Nonce,
 }
 
-/// Ties a frame to its connection and its place there.
+/// Binds a frame to its connection and its position there, so that a recorded frame can't be replayed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Place {
-    pub(super) asker: Nonce,
-    pub(super) answerer: Nonce,
-    /// Counts the requests of the connection.
+pub(super) struct Position {
+    pub(super) client_nonce: Nonce,
+    pub(super) server_nonce: Nonce,
+    /// Number of the request on the connection, from 1.
     pub(super) exchange: u64,
-    /// 0 for the request, then counts the frames of its answer.
+    /// 0 for the request, then the number of the response frame, from 1.
     pub(super) index: u32,
 }
 
-/// A request.
+/// Frame of a request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(super) struct Ask {
-    pub(super) place: Place,
+pub(super) struct RequestFrame {
+    pub(super) position: Position,
     pub(super) sender: Writer,
     pub(super) stamp: Stamp,
-    /// Milliseconds that the asker waits. Clocks are not shared, so the receiver turns it into its own deadline.
-    pub(super) within_ms: u32,
+    /// Time that the client waits for the response, in milliseconds. A duration, since clocks are not synchronized.
+    pub(super) timeout_ms: u32,
     pub(super) request: Request,
 }
 
-/// One frame of an answer.
+/// Frame of a response, which may have several.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(super) struct Reply {
-    pub(super) place: Place,
+pub(super) struct ResponseFrame {
+    pub(super) position: Position,
     pub(super) stamp: Stamp,
     pub(super) last: bool,
     pub(super) response: Response,
 }
 
-/// Why a frame could not be moved.
+/// Error sending or receiving a frame.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum Error {
     #[error("{0}")]
@@ -79,13 +79,13 @@
     #[error("{0}")]
     Frame(#[from] datagram::Error),
     #[error("a frame belongs to another exchange")]
-    Place,
+    UnexpectedPosition,
     #[error("the deadline passed")]
     Deadline,
 }
 
 impl Error {
-    /// Label of the metric that counts it.
+    /// Value of the `reason` label in metrics.
     pub(super) fn reason(&self) -> &'static str {
         match self {
             Self::Io(_) => "io",
@@ -94,16 +94,16 @@
             Self::Frame(datagram::Error::Version(_)) => "version",
             Self::Frame(datagram::Error::Key(_)) => "key",
             Self::Frame(_) => "malformed",
-            Self::Place => "replay",
+            Self::UnexpectedPosition => "replay",
             Self::Deadline => "deadline",
         }
     }
 }
 
-/// Encodes a frame with its length in front.
+/// Encodes a frame with its length prefix.
 ///
 /// # Errors
-/// When it is over the limit; nothing was written then.
+/// Returns an error if the frame is larger than [`MAX_FRAME`].
 pub(super) fn encode<T: Serialize>(message: &T, key: &Key) -> Result<Vec<u8>, Error> {
     let sealed = seal(message, key);
     let size = sealed.len();
@@ -129,7 +129,8 @@
     Ok(())
 }
 
-/// Reads one frame and tells its size. The buffer grows with what really comes, not with what the length promises.
+/// Reads one frame and returns it with its size. The buffer grows with the bytes received, not by the length prefix, so
+/// that a peer can't make this process allocate memory without sending data.
 pub(super) async fn read<T: for<'de> Deserialize<'de>>(
     from: &mut (impl AsyncRead + Unpin),
     keys: &[Key],
--- a/crates/tinbank-peer/src/stream/mod.rs
+++ b/crates/tinbank-peer/src/stream/mod.rs
@@ -1,7 +1,7 @@
-//! Requests over TCP: length-prefixed sealed frames.
+//! Requests over TCP, as length-prefixed authenticated frames.
 //!
-//! Both sides draw a nonce per connection and every frame after the greeting carries both with a running number, so a
-//! recorded frame is worth nothing on another connection or a second time on the same one.
+//! Each side chooses a nonce for each connection. Every frame after the handshake contains both nonces and its position, so
+//! that a recorded frame can't be replayed on another connection or again on the same one.
 
 pub(crate) mod client;
 mod frame;
--- a/crates/tinbank-peer/src/stream/server.rs
+++ b/crates/tinbank-peer/src/stream/server.rs
@@ -1,4 +1,4 @@
-//! The answering side.
+//! Server side: accepts connections and responds to requests.
 
 use std::{
     sync::{Arc, OnceLock},
@@ -15,17 +15,17 @@
 use tokio_util::sync::CancellationToken;
 
 use super::frame::{
-    self, Ask, GREETING_WITHIN, Hello, MAX_FRAME, MAX_GREETING, Nonce, Place, Reply, Welcome,
+    self, RequestFrame, HANDSHAKE_TIMEOUT, Hello, MAX_FRAME, MAX_HANDSHAKE_FRAME, Nonce, Position, ResponseFrame, Welcome,
 };
 use crate::endpoint::Identity;
 
-/// Connections served at once; more wait in the system's queue.
+/// Limit of concurrent connections. More wait in the accept queue of the operating system.
 const MAX_CONNECTIONS: usize = 512;
-/// How long a connection may be idle.
-const IDLE_FOR: Duration = Duration::from_secs(60);
-/// Longest time that a request is worked on, whatever the asker would wait.
-const MAX_WITHIN: Duration = Duration::from_secs(120);
-/// Pause after the system refused a connection (too many open files), so that the loop can't spin.
+/// Time after which an idle connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Limit of the time to respond to a request, whatever timeout the client sent.
+const MAX_REQUEST_TIME: Duration = Duration::from_secs(120);
+/// Pause after a failed accept, for example with too many open files, so that the loop does not spin.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 pub(crate) struct Server {
@@ -71,88 +71,88 @@
                 let _permit = permit;
                 let stop = server.stop.clone();
                 tokio::select! {
-                    () = server.connection(tcp) => {}
+                    () = server.serve_connection(tcp) => {}
                     () = stop.cancelled() => {}
                 }
             });
         }
     }
 
-    async fn connection(&self, mut tcp: TcpStream) {
-        let Err(error) = self.serve(&mut tcp).await else {
+    async fn serve_connection(&self, mut tcp: TcpStream) {
+        let Err(error) = self.serve_requests(&mut tcp).await else {
             return;
         };
         let reason = error.reason();
         metrics::counter!("tinbank_peer_connections_failed_total", "reason" => reason).increment(1);
     }
 
-    async fn serve(&self, tcp: &mut TcpStream) -> Result<(), frame::Error> {
+    async fn serve_requests(&self, tcp: &mut TcpStream) -> Result<(), frame::Error> {
         tcp.set_nodelay(true)?;
-        let (asker, answerer) = timeout(GREETING_WITHIN, self.greet(tcp))
+        let (client_nonce, server_nonce) = timeout(HANDSHAKE_TIMEOUT, self.handshake(tcp))
             .await
             .map_err(|_| frame::Error::Deadline)??;
         let mut exchange = 0;
         loop {
-            let read = frame::read::<Ask>(tcp, &self.identity.keys, MAX_FRAME);
-            let Ok(read) = timeout(IDLE_FOR, read).await else {
+            let read = frame::read::<RequestFrame>(tcp, &self.identity.keys, MAX_FRAME);
+            let Ok(read) = timeout(IDLE_TIMEOUT, read).await else {
                 return Ok(());
             };
-            let ask = match read {
-                Ok((ask, _)) => ask,
+            let request = match read {
+                Ok((request, _)) => request,
                 Err(frame::Error::Io(_)) => return Ok(()),
                 Err(error) => return Err(error),
             };
             exchange += 1;
-            let place = Place {
-                asker,
-                answerer,
+            let position = Position {
+                client_nonce,
+                server_nonce,
                 exchange,
                 index: 0,
             };
-            if ask.place != place {
-                return Err(frame::Error::Place);
+            if request.position != position {
+                return Err(frame::Error::UnexpectedPosition);
             }
-            self.exchange(tcp, ask).await?;
+            self.handle_request(tcp, request).await?;
         }
     }
 
-    async fn greet(&self, tcp: &mut TcpStream) -> Result<(Nonce, Nonce), frame::Error> {
-        let (hello, _) = frame::read::<Hello>(tcp, &self.identity.keys, MAX_GREETING).await?;
+    async fn handshake(&self, tcp: &mut TcpStream) -> Result<(Nonce, Nonce), frame::Error> {
+        let (hello, _) = frame::read::<Hello>(tcp, &self.identity.keys, MAX_HANDSHAKE_FRAME).await?;
         let nonce = rand::random::<Nonce>();
         let welcome = Welcome {
-            asker: hello.nonce,
+            client_nonce: hello.nonce,
             nonce,
         };
         frame::write(tcp, &welcome, self.identity.key()).await?;
         Ok((hello.nonce, nonce))
     }
 
-    /// Answers one request by its deadline. A deadline passed closes the connection: the asker has gone.
-    async fn exchange(&self, tcp: &mut TcpStream, ask: Ask) -> Result<(), frame::Error> {
-        self.identity.clock.observe(ask.stamp);
-        let within = Duration::from_millis(ask.within_ms.into()).min(MAX_WITHIN);
-        let until = Instant::now() + within;
-        timeout_at(until.into(), self.answer(tcp, ask))
+    /// Responds to a request by its deadline. A missed deadline closes the connection, since the client no longer waits.
+    async fn handle_request(&self, tcp: &mut TcpStream, request: RequestFrame) -> Result<(), frame::Error> {
+        self.identity.clock.observe(request.stamp);
+        let timeout_left = Duration::from_millis(request.timeout_ms.into()).min(MAX_REQUEST_TIME);
+        let until = Instant::now() + timeout_left;
+        timeout_at(until.into(), self.respond(tcp, request))
             .await
             .map_err(|_| frame::Error::Deadline)?
     }
 
-    async fn answer(&self, tcp: &mut TcpStream, ask: Ask) -> Result<(), frame::Error> {
+    async fn respond(&self, tcp: &mut TcpStream, request: RequestFrame) -> Result<(), frame::Error> {
         let Some(answer) = self.answer.get() else {
             let response = Response::Failed {
                 code: tinbank_base::outcome::Code::NotReady,
                 ran: tinbank_base::outcome::Ran::No,
                 message: "the process is starting".into(),
             };
-            return self.reply(tcp, ask.place, 1, true, response).await;
+            return self.send_response(tcp, request.position, 1, true, response).await;
         };
-        let mut responses = answer.answer(ask.sender, ask.request).await;
+        let mut responses = answer.answer(request.sender, request.request).await;
         let mut index = 0;
         let mut next = responses.next().await;
         while let Some(response) = next {
             next = responses.next().await;
             index += 1;
-            self.reply(tcp, ask.place, index, next.is_none(), response)
+            self.send_response(tcp, request.position, index, next.is_none(), response)
                 .await?;
         }
         if index == 0 {
@@ -162,20 +162,20 @@
         Ok(())
     }
 
-    async fn reply(
+    async fn send_response(
         &self,
         tcp: &mut TcpStream,
-        place: Place,
+        position: Position,
         index: u32,
         last: bool,
         response: Response,
     ) -> Result<(), frame::Error> {
-        let reply = Reply {
-            place: Place { index, ..place },
+        let frame = ResponseFrame {
+            position: Position { index, ..position },
             stamp: self.identity.clock.stamp(),
             last,
             response,
         };
-        frame::write(tcp, &reply, self.identity.key()).await
+        frame::write(tcp, &frame, self.identity.key()).await
     }
 }
--- a/crates/tinbank-peer/tests/datagrams.rs
+++ b/crates/tinbank-peer/tests/datagrams.rs
@@ -1,10 +1,10 @@
-//! Datagrams: what is taken and what is dropped.
+//! Datagrams: which are accepted and which are dropped.
 
 mod fixture;
 
 use std::{net::SocketAddr, sync::Arc};
 
-use fixture::{Counter, endpoint, heartbeat, key, keys, loopback, writer};
+use fixture::{TestClock, endpoint, heartbeat, key, keys, loopback, writer};
 use proptest::{prelude::*, test_runner::RngSeed};
 use tinbank_base::{
     clock::Stamp,
@@ -34,19 +34,19 @@
     seal_for(datagram, &key(1), to)
 }
 
-/// A receiver, its heartbeats and a bare socket to send to it.
+/// Returns a receiver, its heartbeats, and a raw socket connected to it.
 async fn receiver() -> (Endpoint, mpsc::Receiver<ReceivedHeartbeat>, UdpSocket) {
     let endpoint = endpoint(RECEIVER, &[1]).await;
-    let heard = endpoint.heartbeats().unwrap();
+    let heartbeats = endpoint.heartbeats().unwrap();
     let socket = UdpSocket::bind(loopback()).await.unwrap();
     socket.connect(endpoint.address()).await.unwrap();
-    (endpoint, heard, socket)
+    (endpoint, heartbeats, socket)
 }
 
-/// Sends frames and returns the `config` of the heartbeats that were taken, up to a last good one.
-async fn taken(frames: impl Fn(SocketAddr) -> Vec<Vec<u8>>) -> Vec<u64> {
+/// Sends frames and then a valid one, and returns the `config` of the heartbeats accepted before the last one.
+async fn accepted_configs(frames: impl Fn(SocketAddr) -> Vec<Vec<u8>>) -> Vec<u64> {
     const LAST: u64 = 999;
-    let (endpoint, mut heard, socket) = receiver().await;
+    let (endpoint, mut heartbeats, socket) = receiver().await;
     let address = endpoint.address();
     for bytes in frames(address) {
         socket.send(&bytes).await.unwrap();
@@ -54,13 +54,13 @@
     let last = sealed(&frame(9, 1, LAST), address);
     socket.send(&last).await.unwrap();
 
-    let mut taken = Vec::new();
+    let mut configs = Vec::new();
     loop {
-        let config = heard.recv().await.unwrap().heartbeat.config;
+        let config = heartbeats.recv().await.unwrap().heartbeat.config;
         if config == LAST {
-            return taken;
+            return configs;
         }
-        taken.push(config);
+        configs.push(config);
     }
 }
 
@@ -80,7 +80,7 @@
     seal_for(&frame(1, 1, 7), &key(2), address)
 }
 
-fn sealed_same_number_other_secret(address: SocketAddr) -> Vec<u8> {
+fn sealed_other_secret_of_same_key_number(address: SocketAddr) -> Vec<u8> {
     let mut other = key(1);
     other.secret = [77; 32];
     seal_for(&frame(1, 1, 7), &other, address)
@@ -95,7 +95,7 @@
     seal_for(&"text", &key(1), address)
 }
 
-fn sealed_from_ourselves(address: SocketAddr) -> Vec<u8> {
+fn sealed_from_own_process(address: SocketAddr) -> Vec<u8> {
     let mut datagram = frame(1, 1, 7);
     datagram.sender = writer(RECEIVER);
     sealed(&datagram, address)
@@ -107,38 +107,38 @@
     version = { bad_version },
     mac = { bad_mac },
     unknown_key = { sealed_unknown_key },
-    same_number_other_secret = { sealed_same_number_other_secret },
+    other_secret_of_same_key_number = { sealed_other_secret_of_same_key_number },
     other_receiver = { sealed_other_receiver },
     other_type = { sealed_other_type },
-    from_ourselves = { sealed_from_ourselves },
+    from_own_process = { sealed_from_own_process },
     too_large = { |_| vec![1; MAX_BYTES + 1] },
     much_too_large = { |_| vec![1; 40_000] },
 )]
 #[test_macro(tokio::test)]
-async fn a_bad_frame_is_dropped_and_the_next_one_is_taken(bad: fn(SocketAddr) -> Vec<u8>) {
-    let taken = taken(|address| vec![bad(address)]).await;
+async fn an_invalid_frame_is_dropped_and_the_next_one_accepted(bad: fn(SocketAddr) -> Vec<u8>) {
+    let configs = accepted_configs(|address| vec![bad(address)]).await;
 
-    assert_eq!(taken, [0_u64; 0]);
+    assert_eq!(configs, [0_u64; 0]);
 }
 
 #[tokio::test]
-async fn a_replayed_frame_is_dropped_and_an_overtaken_one_is_taken() {
-    let taken = taken(|address| {
+async fn a_replayed_frame_is_dropped_and_a_reordered_one_accepted() {
+    let configs = accepted_configs(|address| {
         let order = [(1, 1), (1, 3), (1, 2), (1, 3), (1, 1), (1, 4)];
         let frame = |(incarnation, sequence)| frame(incarnation, sequence, sequence);
         order
             .iter()
-            .map(|&place| sealed(&frame(place), address))
+            .map(|&number| sealed(&frame(number), address))
             .collect()
     })
     .await;
 
-    assert_eq!(taken, [1, 3, 2, 4]);
+    assert_eq!(configs, [1, 3, 2, 4]);
 }
 
 #[tokio::test]
-async fn a_restarted_sender_counts_from_one_again_and_its_earlier_start_is_over() {
-    let taken = taken(|address| {
+async fn a_restarted_sender_starts_a_new_sequence_and_its_earlier_incarnation_is_rejected() {
+    let configs = accepted_configs(|address| {
         vec![
             sealed(&frame(1, 50, 10), address),
             sealed(&frame(2, 1, 20), address),
@@ -147,27 +147,27 @@
     })
     .await;
 
-    assert_eq!(taken, [10, 20]);
+    assert_eq!(configs, [10, 20]);
 }
 
 #[yare::parameterized(
-    before_the_change = { &[1], &[1] },
+    old_key_only = { &[1], &[1] },
     sender_has_both = { &[1, 2], &[1] },
     receiver_has_both = { &[1], &[2, 1] },
     sender_signs_with_the_new_one = { &[2, 1], &[1, 2] },
-    after_the_change = { &[2], &[2, 1] },
+    new_key_only_at_sender = { &[2], &[2, 1] },
 )]
 #[test_macro(tokio::test)]
-async fn a_key_is_changed_without_losing_a_frame(sender: &[u8], receiver: &[u8]) {
+async fn keys_can_be_rotated_without_losing_a_frame(sender: &[u8], receiver: &[u8]) {
     let sender = endpoint(SENDER, sender).await;
     let receiver = endpoint(RECEIVER, receiver).await;
-    let mut heard = receiver.heartbeats().unwrap();
+    let mut heartbeats = receiver.heartbeats().unwrap();
 
     let size = sender.send_heartbeat(receiver.address(), heartbeat(5));
 
-    let heard = heard.recv().await.unwrap();
-    assert_eq!(heard.from, writer(SENDER));
-    assert_eq!(heard.heartbeat, heartbeat(5));
+    let received = heartbeats.recv().await.unwrap();
+    assert_eq!(received.from, writer(SENDER));
+    assert_eq!(received.heartbeat, heartbeat(5));
     assert!(size > 0 && size <= MAX_BYTES);
 }
 
@@ -183,8 +183,8 @@
 }
 
 #[tokio::test]
-async fn the_stamp_of_a_frame_moves_the_clock() {
-    let clock = Arc::new(Counter::default());
+async fn the_stamp_of_a_received_frame_advances_the_clock() {
+    let clock = Arc::new(TestClock::default());
     let settings = Settings {
         address: loopback(),
         writer: writer(RECEIVER),
@@ -192,25 +192,25 @@
         clock: clock.clone(),
     };
     let receiver = Endpoint::bind(settings).await.unwrap();
-    let mut heard = receiver.heartbeats().unwrap();
+    let mut heartbeats = receiver.heartbeats().unwrap();
     let mut datagram = frame(1, 1, 0);
     datagram.stamp.micros = 5_000;
     let socket = UdpSocket::bind(loopback()).await.unwrap();
 
     let bytes = sealed(&datagram, receiver.address());
     socket.send_to(&bytes, receiver.address()).await.unwrap();
-    heard.recv().await.unwrap();
+    heartbeats.recv().await.unwrap();
 
     assert_eq!(clock.now.lock().unwrap().micros, 5_000);
 }
 
 #[tokio::test]
-async fn an_unspecified_address_and_a_missing_key_are_refused() {
+async fn an_unspecified_address_and_a_missing_key_are_rejected() {
     let settings = |address: &str, key_numbers: &[u8]| Settings {
         address: address.parse().unwrap(),
         writer: writer(1),
         keys: keys(key_numbers),
-        clock: Arc::new(Counter::default()),
+        clock: Arc::new(TestClock::default()),
     };
 
     let unspecified = Endpoint::bind(settings("0.0.0.0:0", &[1])).await;
@@ -228,13 +228,13 @@
     }
 }
 
-/// Knows every sequence ever seen.
+/// Reference implementation of the replay window that stores all sequences.
 #[derive(Default)]
-struct Naive {
+struct Reference {
     seen: Vec<u64>,
 }
 
-impl Naive {
+impl Reference {
     fn admit(&mut self, sequence: u64) -> bool {
         let largest = self.seen.iter().max().copied().unwrap_or_default();
         let new = !self.seen.contains(&sequence) && sequence + 128 > largest && sequence > 0;
@@ -247,19 +247,19 @@
     #![proptest_config(fixed())]
 
     #[test]
-    fn the_window_agrees_with_a_list_of_all_sequences(
+    fn the_window_agrees_with_a_reference_that_stores_all_sequences(
         steps in proptest::collection::vec(prop_oneof![1_u64..400, 1_u64..5_000], 1..200)
     ) {
         let mut window = Window::default();
-        let mut naive = Naive::default();
+        let mut reference = Reference::default();
 
         for sequence in steps {
-            prop_assert_eq!(window.admit(sequence), naive.admit(sequence));
+            prop_assert_eq!(window.admit(sequence), reference.admit(sequence));
         }
     }
 
     #[test]
-    fn no_bytes_make_the_decoder_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200), sign in any::<bool>()) {
+    fn the_decoder_does_not_panic_on_arbitrary_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..200), sign in any::<bool>()) {
         let address = "127.0.0.1:9".parse().unwrap();
         let bytes = if sign { seal_for(&bytes, &key(1), address) } else { bytes };
 
--- a/crates/tinbank-peer/tests/requests.rs
+++ b/crates/tinbank-peer/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Requests over TCP: answers, errors and replays.
+//! Requests over TCP: responses, errors and replays.
 
 mod fixture;
 
@@ -32,32 +32,32 @@
     sync::mpsc,
 };
 
-const ASKER: u32 = 1;
-const ANSWERER: u32 = 2;
+const CLIENT: u32 = 1;
+const SERVER: u32 = 2;
 
-/// Answers `Config{from}` by `from` frames, and counts.
-struct Fake {
-    asked: AtomicU32,
-    told: mpsc::UnboundedSender<(Writer, Body)>,
+/// Responds to `Config { from }` with `from` frames, and counts the requests.
+struct TestHandler {
+    requests: AtomicU32,
+    messages: mpsc::UnboundedSender<(Writer, Body)>,
 }
 
-/// What `Config{from}` asks the fake to do instead.
-const NEVER: u64 = 1_000;
-const HUGE: u64 = 1_001;
-const EMPTY: u64 = 1_002;
+/// Values of `from` with a special response: none at all, one over the size limit, and one without frames.
+const NO_RESPONSE: u64 = 1_000;
+const TOO_LARGE: u64 = 1_001;
+const NO_FRAMES: u64 = 1_002;
 
 #[async_trait]
-impl Answer for Fake {
+impl Answer for TestHandler {
     async fn answer(&self, from: Writer, request: Request) -> BoxStream<'static, Response> {
-        self.asked.fetch_add(1, Ordering::SeqCst);
-        assert_eq!(from, writer(ASKER));
+        self.requests.fetch_add(1, Ordering::SeqCst);
+        assert_eq!(from, writer(CLIENT));
         let Request::Config { from } = request else {
             return stream::empty().boxed();
         };
         match from {
-            NEVER => stream::pending().boxed(),
-            EMPTY => stream::empty().boxed(),
-            HUGE => stream::iter([Response::Failed {
+            NO_RESPONSE => stream::pending().boxed(),
+            NO_FRAMES => stream::empty().boxed(),
+            TOO_LARGE => stream::iter([Response::Failed {
                 code: tinbank_base::outcome::Code::Internal,
                 ran: tinbank_base::outcome::Ran::No,
                 message: "x".repeat(MAX_BYTES),
@@ -68,11 +68,11 @@
     }
 
     fn on_credit(&self, from: Writer, message: credit::Message) {
-        self.told.send((from, Body::Credit(message))).unwrap();
+        self.messages.send((from, Body::Credit(message))).unwrap();
     }
 
     fn on_demand(&self, from: Writer, message: demand::Message) {
-        self.told.send((from, Body::Demand(message))).unwrap();
+        self.messages.send((from, Body::Demand(message))).unwrap();
     }
 }
 
@@ -83,17 +83,17 @@
     })
 }
 
-fn fake() -> (Arc<Fake>, mpsc::UnboundedReceiver<(Writer, Body)>) {
-    let (told, heard) = mpsc::unbounded_channel();
-    let asked = AtomicU32::new(0);
-    (Arc::new(Fake { asked, told }), heard)
+fn test_handler() -> (Arc<TestHandler>, mpsc::UnboundedReceiver<(Writer, Body)>) {
+    let (messages, received) = mpsc::unbounded_channel();
+    let requests = AtomicU32::new(0);
+    (Arc::new(TestHandler { requests, messages }), received)
 }
 
-async fn pair() -> (Endpoint, Endpoint, Arc<Fake>) {
-    let (fake, _) = fake();
-    let answerer = endpoint(ANSWERER, &[1]).await;
-    answerer.serve(fake.clone());
-    (endpoint(ASKER, &[1]).await, answerer, fake)
+async fn pair() -> (Endpoint, Endpoint, Arc<TestHandler>) {
+    let (handler, _) = test_handler();
+    let server = endpoint(SERVER, &[1]).await;
+    server.serve(handler.clone());
+    (endpoint(CLIENT, &[1]).await, server, handler)
 }
 
 fn request(from: u64) -> Request {
@@ -105,25 +105,25 @@
 }
 
 #[tokio::test]
-async fn all_frames_of_an_answer_come_in_order_also_over_a_pooled_connection() {
-    let (asker, answerer, fake) = pair().await;
-    let to = answerer.address();
+async fn frames_of_a_response_arrive_in_order_also_over_a_pooled_connection() {
+    let (client, server, handler) = pair().await;
+    let to = server.address();
 
     for count in [3, 1, 200] {
-        let answer = asker.ask(to, request(count), soon()).await.unwrap();
+        let answer = client.ask(to, request(count), soon()).await.unwrap();
 
         let expected: Vec<_> = (0..count as u32).map(counted).collect();
         assert_eq!(answer, expected);
     }
-    assert_eq!(fake.asked.load(Ordering::SeqCst), 3);
+    assert_eq!(handler.requests.load(Ordering::SeqCst), 3);
 }
 
 #[tokio::test]
-async fn many_requests_at_once_each_get_their_own_answer() {
-    let (asker, answerer, _) = pair().await;
-    let to = answerer.address();
+async fn concurrent_requests_each_get_their_own_response() {
+    let (client, server, _) = pair().await;
+    let to = server.address();
 
-    let asks = (1..60).map(|count| asker.ask(to, request(count), soon()));
+    let asks = (1..60).map(|count| client.ask(to, request(count), soon()));
     let answers = futures::future::join_all(asks).await;
 
     for (index, answer) in answers.into_iter().enumerate() {
@@ -132,99 +132,99 @@
 }
 
 #[tokio::test]
-async fn a_peer_that_is_gone_gives_a_connect_error() {
-    let asker = endpoint(ASKER, &[1]).await;
+async fn a_closed_port_gives_a_connect_error() {
+    let client = endpoint(CLIENT, &[1]).await;
     let gone = TcpListener::bind(loopback()).await.unwrap();
     let to = gone.local_addr().unwrap();
     drop(gone);
 
-    let result = asker.ask(to, request(1), soon()).await;
+    let result = client.ask(to, request(1), soon()).await;
 
     assert_eq!(result, Err(Error::Connect(to)));
 }
 
 #[tokio::test]
-async fn a_peer_without_our_key_gives_a_connect_error() {
-    let (_, answerer, fake) = pair().await;
-    let stranger = endpoint(ASKER, &[2]).await;
-    let to = answerer.address();
+async fn a_peer_with_another_key_gives_a_connect_error() {
+    let (_, server, handler) = pair().await;
+    let stranger = endpoint(CLIENT, &[2]).await;
+    let to = server.address();
 
     let result = stranger.ask(to, request(1), soon()).await;
 
     assert_eq!(result, Err(Error::Connect(to)));
-    assert_eq!(fake.asked.load(Ordering::SeqCst), 0);
+    assert_eq!(handler.requests.load(Ordering::SeqCst), 0);
 }
 
 #[tokio::test]
-async fn a_deadline_that_has_passed_sends_nothing() {
-    let (asker, answerer, fake) = pair().await;
-    let to = answerer.address();
+async fn a_request_after_its_deadline_is_not_sent() {
+    let (client, server, handler) = pair().await;
+    let to = server.address();
 
-    let result = asker.ask(to, request(1), Instant::now()).await;
+    let result = client.ask(to, request(1), Instant::now()).await;
 
     assert_eq!(result, Err(Error::Connect(to)));
-    assert_eq!(fake.asked.load(Ordering::SeqCst), 0);
+    assert_eq!(handler.requests.load(Ordering::SeqCst), 0);
 }
 
 #[yare::parameterized(
-    no_answer_by_the_deadline = { NEVER },
-    answer_over_the_limit = { HUGE },
-    answer_without_a_frame = { EMPTY },
+    no_response_by_the_deadline = { NO_RESPONSE },
+    response_over_the_limit = { TOO_LARGE },
+    response_without_a_frame = { NO_FRAMES },
 )]
 #[test_macro(tokio::test)]
-async fn a_request_without_a_whole_answer_is_lost(from: u64) {
-    let (asker, answerer, fake) = pair().await;
-    let to = answerer.address();
+async fn a_request_without_a_complete_response_gives_a_lost_error(from: u64) {
+    let (client, server, handler) = pair().await;
+    let to = server.address();
     let until = Instant::now() + Duration::from_millis(500);
 
-    let result = asker.ask(to, request(from), until).await;
+    let result = client.ask(to, request(from), until).await;
 
     assert!(matches!(result, Err(Error::Lost { .. })), "{result:?}");
-    assert_eq!(fake.asked.load(Ordering::SeqCst), 1);
-    let next = asker.ask(to, request(2), soon()).await;
+    assert_eq!(handler.requests.load(Ordering::SeqCst), 1);
+    let next = client.ask(to, request(2), soon()).await;
     assert_eq!(next.unwrap().len(), 2);
 }
 
 #[tokio::test]
-async fn a_peer_that_stops_in_the_midst_of_an_answer_gives_a_lost_error() {
-    let (asker, answerer, fake) = pair().await;
-    let to = answerer.address();
-    let pending = tokio::spawn(async move { asker.ask(to, request(NEVER), soon()).await });
-    while fake.asked.load(Ordering::SeqCst) == 0 {
+async fn a_peer_that_stops_during_a_response_gives_a_lost_error() {
+    let (client, server, handler) = pair().await;
+    let to = server.address();
+    let pending = tokio::spawn(async move { client.ask(to, request(NO_RESPONSE), soon()).await });
+    while handler.requests.load(Ordering::SeqCst) == 0 {
         tokio::task::yield_now().await;
     }
 
-    answerer.close();
+    server.close();
 
     let result = pending.await.unwrap();
     assert!(matches!(result, Err(Error::Lost { .. })), "{result:?}");
 }
 
 #[tokio::test]
-async fn a_request_to_a_restarted_peer_does_not_fall_to_a_dead_pooled_connection() {
-    let (asker, answerer, _) = pair().await;
-    let to = answerer.address();
-    asker.ask(to, request(1), soon()).await.unwrap();
-    answerer.close();
-    drop(answerer);
+async fn a_request_to_a_restarted_peer_does_not_fail_on_a_closed_pooled_connection() {
+    let (client, server, _) = pair().await;
+    let to = server.address();
+    client.ask(to, request(1), soon()).await.unwrap();
+    server.close();
+    drop(server);
     while TcpStream::connect(to).await.is_ok() {
         tokio::task::yield_now().await;
     }
 
-    let (fake, _) = fake();
-    let restarted = endpoint_at(to, ANSWERER, &[1]).await;
-    restarted.serve(fake);
-    let answer = asker.ask(to, request(4), soon()).await;
+    let (handler, _) = test_handler();
+    let restarted = endpoint_at(to, SERVER, &[1]).await;
+    restarted.serve(handler);
+    let answer = client.ask(to, request(4), soon()).await;
 
     assert_eq!(answer.unwrap().len(), 4);
 }
 
 #[tokio::test]
-async fn before_it_serves_a_peer_says_that_nothing_ran() {
-    let asker = endpoint(ASKER, &[1]).await;
-    let answerer = endpoint(ANSWERER, &[1]).await;
+async fn a_peer_without_a_handler_responds_that_the_request_did_not_run() {
+    let client = endpoint(CLIENT, &[1]).await;
+    let server = endpoint(SERVER, &[1]).await;
 
-    let answer = asker.ask(answerer.address(), request(1), soon()).await;
+    let answer = client.ask(server.address(), request(1), soon()).await;
 
     let [Response::Failed { ran, .. }] = answer.unwrap()[..] else {
         panic!("expected one failure");
@@ -232,21 +232,21 @@
     assert_eq!(ran, tinbank_base::outcome::Ran::No);
 }
 
-/// Passes one connection on to `to` and returns what the asker sent.
-async fn record(listener: TcpListener, to: SocketAddr) -> Vec<u8> {
-    let (mut asker, _) = listener.accept().await.unwrap();
-    let mut answerer = TcpStream::connect(to).await.unwrap();
-    let (mut from_asker, mut to_asker) = asker.split();
-    let (mut from_answerer, mut to_answerer) = answerer.split();
+/// Proxies one connection to `to` and returns the bytes that the client sent.
+async fn proxy_and_record(listener: TcpListener, to: SocketAddr) -> Vec<u8> {
+    let (mut client, _) = listener.accept().await.unwrap();
+    let mut server = TcpStream::connect(to).await.unwrap();
+    let (mut from_client, mut to_client) = client.split();
+    let (mut from_server, mut to_server) = server.split();
     let mut recorded = Vec::new();
     let forward = async {
         let mut buffer = [0; 4_096];
-        while let Ok(size @ 1..) = from_asker.read(&mut buffer).await {
+        while let Ok(size @ 1..) = from_client.read(&mut buffer).await {
             recorded.extend_from_slice(&buffer[..size]);
-            to_answerer.write_all(&buffer[..size]).await.unwrap();
+            to_server.write_all(&buffer[..size]).await.unwrap();
         }
     };
-    let back = copy(&mut from_answerer, &mut to_asker);
+    let back = copy(&mut from_server, &mut to_client);
     tokio::select! {
         () = forward => {}
         _ = back => {}
@@ -255,27 +255,27 @@
 }
 
 #[tokio::test]
-async fn a_recorded_request_is_not_answered_a_second_time() {
-    let (asker, answerer, fake) = pair().await;
+async fn a_replayed_connection_does_not_run_its_request_again() {
+    let (client, server, handler) = pair().await;
     let listener = TcpListener::bind(loopback()).await.unwrap();
     let proxy = listener.local_addr().unwrap();
-    let recording = tokio::spawn(record(listener, answerer.address()));
-    asker.ask(proxy, request(1), soon()).await.unwrap();
-    drop(asker);
+    let recording = tokio::spawn(proxy_and_record(listener, server.address()));
+    client.ask(proxy, request(1), soon()).await.unwrap();
+    drop(client);
     let recorded = recording.await.unwrap();
 
-    let mut replay = TcpStream::connect(answerer.address()).await.unwrap();
+    let mut replay = TcpStream::connect(server.address()).await.unwrap();
     replay.write_all(&recorded).await.unwrap();
-    // The answerer closes the connection once it has seen that the request belongs to another one.
+    // Returns once the server has rejected the request and closed the connection.
     let _ = replay.read_to_end(&mut Vec::new()).await;
 
-    assert_eq!(fake.asked.load(Ordering::SeqCst), 1);
+    assert_eq!(handler.requests.load(Ordering::SeqCst), 1);
 }
 
 #[tokio::test]
-async fn a_length_over_the_limit_closes_the_connection() {
-    let (_, answerer, _) = pair().await;
-    let mut tcp = TcpStream::connect(answerer.address()).await.unwrap();
+async fn a_length_prefix_over_the_limit_closes_the_connection() {
+    let (_, server, _) = pair().await;
+    let mut tcp = TcpStream::connect(server.address()).await.unwrap();
 
     tcp.write_all(&u32::MAX.to_be_bytes()).await.unwrap();
     let read = tcp.read(&mut [0; 8]).await;
@@ -283,7 +283,7 @@
     assert!(matches!(read, Ok(0) | Err(_)), "{read:?}");
 }
 
-fn greeting_of_the_next_version() -> Vec<u8> {
+fn handshake_of_the_next_version() -> Vec<u8> {
     let mut sealed = seal(&7_u128, &key(1));
     sealed[0] = VERSION + 1;
     framed(&sealed)
@@ -294,61 +294,61 @@
     [&length.to_be_bytes(), sealed].concat()
 }
 
-/// What a foreign process may send, with and without the key. The connection is closed; others are served.
+/// Bytes of an incompatible or malicious process, with and without the key.
 #[yare::parameterized(
-    next_version = { greeting_of_the_next_version() },
+    next_version = { handshake_of_the_next_version() },
     empty_frame = { framed(&[]) },
     no_mac = { framed(&[VERSION, 1, 0]) },
     other_key = { framed(&seal(&7_u128, &key(2))) },
     other_type = { framed(&seal(&"text", &key(1))) },
-    request_before_the_greeting = { framed(&seal(&request(1), &key(1))) },
-    greeting_and_then_nonsense = { [framed(&seal(&7_u128, &key(1))), vec![0; 40]].concat() },
-    greeting_and_then_a_huge_length = { [framed(&seal(&7_u128, &key(1))), vec![0xff; 4]].concat() },
+    request_before_the_handshake = { framed(&seal(&request(1), &key(1))) },
+    handshake_then_garbage = { [framed(&seal(&7_u128, &key(1))), vec![0; 40]].concat() },
+    handshake_then_a_huge_length = { [framed(&seal(&7_u128, &key(1))), vec![0xff; 4]].concat() },
 )]
 #[test_macro(tokio::test)]
-async fn foreign_bytes_close_their_connection_and_no_other(bytes: Vec<u8>) {
-    let (asker, answerer, fake) = pair().await;
-    let mut tcp = TcpStream::connect(answerer.address()).await.unwrap();
+async fn invalid_bytes_close_only_their_own_connection(bytes: Vec<u8>) {
+    let (client, server, handler) = pair().await;
+    let mut tcp = TcpStream::connect(server.address()).await.unwrap();
 
     tcp.write_all(&bytes).await.unwrap();
-    // Ends when the answerer has closed the connection; a reset is one way to close it.
+    // Returns once the server has closed the connection, possibly with a reset.
     let _ = tcp.read_to_end(&mut Vec::new()).await;
 
-    assert_eq!(fake.asked.load(Ordering::SeqCst), 0);
+    assert_eq!(handler.requests.load(Ordering::SeqCst), 0);
     assert!(
-        asker
-            .ask(answerer.address(), request(1), soon())
+        client
+            .ask(server.address(), request(1), soon())
             .await
             .is_ok()
     );
 }
 
 #[tokio::test]
-async fn datagrams_about_credits_reach_the_answerer() {
-    let asker = endpoint(ASKER, &[1]).await;
-    let answerer = endpoint(ANSWERER, &[1]).await;
-    let (fake, mut told) = fake();
-    answerer.serve(fake);
+async fn credit_datagrams_reach_the_handler() {
+    let client = endpoint(CLIENT, &[1]).await;
+    let server = endpoint(SERVER, &[1]).await;
+    let (handler, mut messages) = test_handler();
+    server.serve(handler);
     let load = Load {
         upstream: 3,
         online: 2,
     };
     let message = credit::Message::Load([load].into_iter().collect());
 
-    asker.send_credit(answerer.address(), message.clone());
+    client.send_credit(server.address(), message.clone());
 
     assert_eq!(
-        told.recv().await,
-        Some((writer(ASKER), Body::Credit(message)))
+        messages.recv().await,
+        Some((writer(CLIENT), Body::Credit(message)))
     );
 }
 
 #[tokio::test]
-async fn datagrams_about_limits_reach_the_answerer() {
-    let asker = endpoint(ASKER, &[1]).await;
-    let answerer = endpoint(ANSWERER, &[1]).await;
-    let (fake, mut told) = fake();
-    answerer.serve(fake);
+async fn demand_datagrams_reach_the_handler() {
+    let client = endpoint(CLIENT, &[1]).await;
+    let server = endpoint(SERVER, &[1]).await;
+    let (handler, mut messages) = test_handler();
+    server.serve(handler);
     let claim = Claim {
         limit: u64::MAX - 3,
         most: 100,
@@ -361,10 +361,10 @@
     };
     let message = demand::Message::Ask(ask);
 
-    asker.send_demand(answerer.address(), message.clone());
+    client.send_demand(server.address(), message.clone());
 
     assert_eq!(
-        told.recv().await,
-        Some((writer(ASKER), Body::Demand(message)))
+        messages.recv().await,
+        Some((writer(CLIENT), Body::Demand(message)))
     );
 }
