--- a/crates/tinbank-fleet/src/control.rs
+++ b/crates/tinbank-fleet/src/control.rs
@@ -75,7 +75,12 @@
 
 impl Control {
     /// A loop that has read nothing yet. `phase` is how a planned stop is asked for and answered.
-    pub fn new(core: Arc<Core>, writer: Writer, terms: Timings, phase: watch::Sender<Phase>) -> Self {
+    pub fn new(
+        core: Arc<Core>,
+        writer: Writer,
+        terms: Timings,
+        phase: watch::Sender<Phase>,
+    ) -> Self {
         let settings = reader::Settings {
             wait: EVERY,
             ..reader::Settings::default()
--- a/crates/tinbank-ledger/src/change.rs
+++ b/crates/tinbank-ledger/src/change.rs
@@ -18,7 +18,6 @@
     Cancelled(id::Job),
     /// Items ended with their first completion.
     Completed {
-        /// Job id.
         job: id::Job,
         /// Chunk number in the job.
         chunk: id::Chunk,
@@ -27,7 +26,6 @@
     },
     /// A dispatch record was accepted: its writer may send the items once.
     Dispatched {
-        /// Job id.
         job: id::Job,
         /// Item numbers in the job.
         items: SmallVec<[id::Item; 8]>,
@@ -36,7 +34,6 @@
     Finished(id::Job),
     /// A shard reported its part of a job as finished to the shard of the job's head.
     Part {
-        /// Job id.
         job: id::Job,
         /// Shard that finished.
         shard: id::Shard,
@@ -49,7 +46,6 @@
     Settled(claim::Key),
     /// A chunk was carried forward to a newer record.
     Carried {
-        /// Job id.
         job: id::Job,
         /// Chunk number in the job.
         chunk: id::Chunk,
--- a/crates/tinbank-ledger/src/checkpoint.rs
+++ b/crates/tinbank-ledger/src/checkpoint.rs
@@ -160,7 +160,10 @@
         if part.through.saturating_add(1) < self.first {
             return Ok(None);
         }
-        let series = self.found.entry(writer).or_insert_with(|| Series::new(part));
+        let series = self
+            .found
+            .entry(writer)
+            .or_insert_with(|| Series::new(part));
         if (series.through, series.parts) != (part.through, part.parts) {
             *series = Series::new(part);
         }
@@ -210,7 +213,10 @@
     let (shard, rest) =
         postcard::take_from_bytes::<Shard>(&state).map_err(|error| malformed(error.to_string()))?;
     if !rest.is_empty() {
-        return Err(malformed(format!("{} unexpected bytes at the end", rest.len())));
+        return Err(malformed(format!(
+            "{} unexpected bytes at the end",
+            rest.len()
+        )));
     }
     if shard.next().checked_sub(1) != Some(through) {
         return Err(malformed(format!(
--- a/crates/tinbank-ledger/src/chunk.rs
+++ b/crates/tinbank-ledger/src/chunk.rs
@@ -91,7 +91,7 @@
         (self.first..self.first + self.items()).filter(|item| !self.ended(*item))
     }
 
-    /// Offsets of the envelopes that hold the first completion of an item, in the order in which they must be read.
+    /// Offsets of the envelopes that hold the first completion of any item, in the order in which they must be read.
     pub fn results(&self) -> &[id::Offset] {
         self.progress
             .as_ref()
--- a/crates/tinbank-ledger/src/duty.rs
+++ b/crates/tinbank-ledger/src/duty.rs
@@ -21,31 +21,22 @@
 pub enum Key {
     /// Release a job's chunks in a shard.
     Release {
-        /// Job id.
         job: id::Job,
         /// Shard of the chunks.
         shard: id::Shard,
     },
     /// Cancel a job in a shard.
     Cancel {
-        /// Job id.
         job: id::Job,
         /// Shard of the chunks.
         shard: id::Shard,
     },
     /// Report to the shard of a job's head that this shard's part has finished.
-    ReportPart {
-        /// Job id.
-        job: id::Job,
-    },
+    ReportPart { job: id::Job },
     /// Record in this shard that the part was reported.
-    RecordReported {
-        /// Job id.
-        job: id::Job,
-    },
+    RecordReported { job: id::Job },
     /// End items with an unknown outcome: an earlier owner may have sent them, and they must not run twice.
     Unknown {
-        /// Job id.
         job: id::Job,
         /// Chunk number in the job.
         chunk: id::Chunk,
@@ -59,7 +50,6 @@
     pub key: Key,
     /// Shard to append the record to.
     pub shard: id::Shard,
-    /// Record to append.
     pub record: work::Record,
 }
 
@@ -205,7 +195,11 @@
         let key = Key::ReportPart { job };
         let reported = head == shard.number() || self.acknowledged.contains(&key);
         Some(Duty {
-            key: if reported { Key::RecordReported { job } } else { key },
+            key: if reported {
+                Key::RecordReported { job }
+            } else {
+                key
+            },
             shard: if reported { shard.number() } else { head },
             record: work::Record::Part(part),
         })
@@ -270,7 +264,9 @@
         Key::Release { job, .. } | Key::Cancel { job, .. } => {
             shard.job(job).is_some_and(|job| !job.finished())
         }
-        Key::ReportPart { job } | Key::RecordReported { job } => shard.work(job).is_some_and(|work| !work.reported),
+        Key::ReportPart { job } | Key::RecordReported { job } => {
+            shard.work(job).is_some_and(|work| !work.reported)
+        }
         Key::Unknown { .. } => false,
     }
 }
--- a/crates/tinbank-ledger/src/job.rs
+++ b/crates/tinbank-ledger/src/job.rs
@@ -10,7 +10,6 @@
 pub struct Job {
     /// The accepted head: the first one appended.
     pub head: work::Head,
-    /// Whether the job was cancelled.
     pub cancelled: bool,
     /// Reports of the shards that have finished their part.
     pub parts: Vec<work::Part>,
@@ -33,7 +32,6 @@
 pub struct Work {
     /// The release record. Chunks don't run without it.
     pub release: Option<work::Release>,
-    /// Whether the job was cancelled.
     pub cancelled: bool,
     /// Whether this shard's part was reported to the shard of the job's head.
     pub reported: bool,
@@ -133,7 +131,8 @@
     /// release, which has a later `keep_until`, replaces a finished one.
     pub(crate) fn release(&mut self, release: work::Release) -> bool {
         if let Some(known) = &self.release {
-            let resubmitted = release.intake != known.intake && release.keep_until > known.keep_until;
+            let resubmitted =
+                release.intake != known.intake && release.keep_until > known.keep_until;
             if !resubmitted || !self.finished() {
                 return false;
             }
@@ -219,7 +218,10 @@
     /// Returns whether a decoded value is one that the fold can produce.
     pub(crate) fn is_consistent(&self) -> bool {
         let chunks = self.chunks.iter().all(Chunk::is_consistent);
-        let waiting = self.waiting.iter().all(|waiting| waiting.chunk.is_consistent());
+        let waiting = self
+            .waiting
+            .iter()
+            .all(|waiting| waiting.chunk.is_consistent());
         let ascending = self.chunks.is_sorted_by(|a, b| a.chunk < b.chunk);
         let counted = self
             .chunks
--- a/crates/tinbank-ledger/src/lease/contender.rs
+++ b/crates/tinbank-ledger/src/lease/contender.rs
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Records the end of a read, after its records were folded. `at_tail` is `false` for a failed read and for one that
-    /// more records follow.
+    /// Records the end of a read, after its records were folded. `at_tail` is `false` for a failed read, and for one
+    /// that more records follow.
     ///
     /// Only the time between two reads of the tail counts as silence: during an outage of the log no holder can renew,
     /// so no lease may expire.
@@ -175,7 +175,12 @@
         // A contender created while the process holds the lease gets the full `stale` time to reach the tail.
         self.current_at.get_or_insert(now);
         let stalled_now = self.is_read_stalled(now);
-        let stalled = has_lasted(&mut self.read_stalled_since, stalled_now, self.timings.stale / 4, now);
+        let stalled = has_lasted(
+            &mut self.read_stalled_since,
+            stalled_now,
+            self.timings.stale / 4,
+            now,
+        );
         if self.is_stale(now) && !stalled {
             return Step::Hold;
         }
@@ -201,7 +206,13 @@
     }
 
     /// Releases the lease explicitly: it would not expire, since any acknowledged append of the holder renews it.
-    fn hold_read_stalled(&mut self, lease: &Lease, epoch: id::Epoch, want: Want, now: Instant) -> Step {
+    fn hold_read_stalled(
+        &mut self,
+        lease: &Lease,
+        epoch: id::Epoch,
+        want: Want,
+        now: Instant,
+    ) -> Step {
         if want.in_flight > 0 {
             return Step::Drain;
         }
--- a/crates/tinbank-ledger/src/placement.rs
+++ b/crates/tinbank-ledger/src/placement.rs
@@ -83,7 +83,11 @@
     let spread = u16::try_from(head.shards.len()).unwrap_or(u16::MAX);
     (0..u32::from(spread))
         .filter(|index| shard_of_chunk(head.job, *index, spread, shards) == shard)
-        .map(|index| head.chunks.saturating_sub(index).div_ceil(u32::from(spread)))
+        .map(|index| {
+            head.chunks
+                .saturating_sub(index)
+                .div_ceil(u32::from(spread))
+        })
         .sum()
 }
 
--- a/crates/tinbank-ledger/src/result.rs
+++ b/crates/tinbank-ledger/src/result.rs
@@ -62,8 +62,8 @@
 /// Returns the record that carries a chunk forward. `through` is the last folded offset of the shard that returned
 /// `carry`.
 ///
-/// The bodies of items that will not run any more are left out. If `results` is empty, the record moves only the bodies:
-/// every results envelope must then be moved first, by [`moved`].
+/// The bodies of items that will not run any more are left out. If `results` is empty, the record moves only the
+/// bodies; every results envelope must then be moved first, by [`moved`].
 pub fn carried<'a>(
     carry: &Carry<'_>,
     body: &work::Chunk,
@@ -110,7 +110,11 @@
     })
 }
 
-fn completions_of_chunk(record: &work::Record, job: id::Job, chunk: id::Chunk) -> &[work::Completion] {
+fn completions_of_chunk(
+    record: &work::Record,
+    job: id::Job,
+    chunk: id::Chunk,
+) -> &[work::Completion] {
     match record {
         work::Record::Completed(completed) if completed.job == job && completed.chunk == chunk => {
             &completed.completions
--- a/crates/tinbank-ledger/src/retention.rs
+++ b/crates/tinbank-ledger/src/retention.rs
@@ -60,7 +60,8 @@
             return 0;
         };
         // Records after the last mark are less than one interval younger than it.
-        let all = older == self.marks.len() && last.at.saturating_add(self.interval_micros()) <= time;
+        let all =
+            older == self.marks.len() && last.at.saturating_add(self.interval_micros()) <= time;
         if all { self.next } else { last.offset }
     }
 
--- a/crates/tinbank-ledger/src/shard/fold.rs
+++ b/crates/tinbank-ledger/src/shard/fold.rs
@@ -59,7 +59,9 @@
             work::Record::Release(release) => self.apply_release(release, changes),
             work::Record::Cancel { job } => self.apply_cancel(*job, changes),
             work::Record::Dispatch(dispatch) => self.apply_dispatch(writer, dispatch, changes),
-            work::Record::Completed(completed) => self.apply_completed(place.offset, completed, changes),
+            work::Record::Completed(completed) => {
+                self.apply_completed(place.offset, completed, changes)
+            }
             work::Record::Part(part) => self.apply_part(part, changes),
             work::Record::Claim(claim) => {
                 if self.claims.apply_claim(claim) {
@@ -79,7 +81,8 @@
 
     /// Records a checkpoint once all its parts were read in order from one writer.
     ///
-    /// A part that claims to cover its own or later offsets is ignored: it would keep valid checkpoints from being written.
+    /// A part that claims to cover its own or later offsets is ignored: it would keep valid checkpoints from being
+    /// written.
     pub(super) fn apply_checkpoint(
         &mut self,
         offset: id::Offset,
--- a/crates/tinbank-ledger/src/shard/items.rs
+++ b/crates/tinbank-ledger/src/shard/items.rs
@@ -85,7 +85,12 @@
         self.check_finished(job, changes);
     }
 
-    pub(super) fn apply_carried(&mut self, place: Place, carried: &work::Carried, changes: &mut Changes) {
+    pub(super) fn apply_carried(
+        &mut self,
+        place: Place,
+        carried: &work::Carried,
+        changes: &mut Changes,
+    ) {
         let (job, number) = (carried.chunk.job, carried.chunk.chunk);
         let work = self.works.get_mut(&job);
         let chunk = work.and_then(|work| work.chunk_of_intake(carried.chunk.intake, number));
--- a/crates/tinbank-ledger/src/shard/jobs.rs
+++ b/crates/tinbank-ledger/src/shard/jobs.rs
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Cancels a job's items in this shard. In shards that do not hold the job's head, a cancel may precede the release.
+    /// Cancels a job's items in this shard. In shards that do not hold the job's head, a cancel may precede the
+    /// release.
     fn cancel_work(&mut self, job: id::Job, holds_head: bool) -> bool {
         if holds_head && !self.works.contains_key(&job) {
             return false;
--- a/crates/tinbank-ledger/src/shard/mod.rs
+++ b/crates/tinbank-ledger/src/shard/mod.rs
@@ -55,7 +55,6 @@
 /// Identifies an item of any job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Key {
-    /// Job id.
     pub job: id::Job,
     /// Item number in the job.
     pub item: id::Item,
@@ -137,12 +136,10 @@
         self.time.micros()
     }
 
-    /// Lease of the shard.
     pub fn lease(&self) -> &Lease {
         &self.lease
     }
 
-    /// Claims of online requests.
     pub fn claims(&self) -> &Claims {
         &self.claims
     }
--- a/crates/tinbank-ledger/src/shard/query.rs
+++ b/crates/tinbank-ledger/src/shard/query.rs
@@ -16,13 +16,11 @@
 /// A chunk with items to run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Ready<'a> {
-    /// Job id.
     pub job: id::Job,
     /// Service that runs the job.
     pub service: &'a str,
     /// Deadline of the job.
     pub due: SystemTime,
-    /// Summary of the chunk.
     pub chunk: &'a Chunk,
 }
 
@@ -123,8 +121,8 @@
             .filter(move |(_, dispatch)| dispatch.epoch < epoch)
     }
 
-    /// Returns the chunks that need a record before offset `before`, either for their bodies or for their results, and so
-    /// must be carried forward. Includes chunks that wait for their release.
+    /// Returns the chunks whose bodies or results are in a record before offset `before` and that must be carried
+    /// forward. Includes chunks that wait for their release.
     pub fn to_carry(&self, before: id::Offset) -> impl Iterator<Item = Carry<'_>> {
         self.works.iter().flat_map(move |(job, work)| {
             let running = work.chunks().iter().map(|chunk| (work.intake(), chunk));
@@ -170,12 +168,10 @@
 /// A chunk to carry forward. [`crate::result::carried`] builds the record.
 #[derive(Clone, Copy, Debug)]
 pub struct Carry<'a> {
-    /// Job id.
     pub job: id::Job,
     /// Intake of the chunk.
     pub intake: u64,
     /// Whether the job was cancelled, so that the bodies are not needed any more.
     pub cancelled: bool,
-    /// Summary of the chunk.
     pub chunk: &'a Chunk,
 }
--- a/crates/tinbank-ledger/tests/ledger/arbitrary.rs
+++ b/crates/tinbank-ledger/tests/ledger/arbitrary.rs
@@ -191,7 +191,10 @@
     records.extend(checkpoint::records(&shard, usize::MAX));
     let mut recovery = Recovery::new(0, SHARDS, 0);
 
-    let found = recovery.offer(AFTER_COVERED, &fixture::envelope(writer(1, 1), 1, 1, records));
+    let found = recovery.offer(
+        AFTER_COVERED,
+        &fixture::envelope(writer(1, 1), 1, 1, records),
+    );
 
     assert_eq!(found, Ok(Some(shard)));
 }
@@ -252,12 +255,18 @@
 
 fn envelope() -> impl Strategy<Value = Envelope<Record>> {
     let records = prop::collection::vec(record(), 0..5);
-    (any_writer(), small_or_max_u64(), small_or_max_u64(), records).prop_map(|(writer, sequence, micros, records)| Envelope {
-        writer,
-        sequence,
-        stamp: Stamp { micros, counter: 0 },
+    (
+        any_writer(),
+        small_or_max_u64(),
+        small_or_max_u64(),
         records,
-    })
+    )
+        .prop_map(|(writer, sequence, micros, records)| Envelope {
+            writer,
+            sequence,
+            stamp: Stamp { micros, counter: 0 },
+            records,
+        })
 }
 
 fn record() -> impl Strategy<Value = Record> {
@@ -283,16 +292,20 @@
             ),
         (job(), small_or_max_u32(), completions())
             .prop_map(|(job, chunk, completions)| { fixture::completed(job, chunk, completions) }),
-        (job(), small_or_max_u64(), small_or_max_u32(), select(vec![0, 1, u16::MAX])).prop_map(
-            |(job, intake, count, shard)| Record::Part(work::Part {
+        (
+            job(),
+            small_or_max_u64(),
+            small_or_max_u32(),
+            select(vec![0, 1, u16::MAX])
+        )
+            .prop_map(|(job, intake, count, shard)| Record::Part(work::Part {
                 job,
                 intake,
                 shard,
                 answered: count,
                 failed: count,
                 cancelled: count
-            })
-        ),
+            })),
         (job(), any_writer(), job(), time(), time()).prop_map(
             |(key, claimer, request, deadline, keep_until)| Record::Claim(Claim {
                 key,
@@ -340,35 +353,57 @@
 }
 
 fn chunk() -> impl Strategy<Value = work::Chunk> {
-    (job(), small_or_max_u64(), small_or_max_u32(), small_or_max_u32(), 0_u32..70).prop_map(|(job, intake, chunk, first, items)| {
-        let items = (0..items).map(fixture::item).collect();
-        work::Chunk {
-            job,
-            intake,
-            chunk,
-            first,
-            items,
-        }
-    })
+    (
+        job(),
+        small_or_max_u64(),
+        small_or_max_u32(),
+        small_or_max_u32(),
+        0_u32..70,
+    )
+        .prop_map(|(job, intake, chunk, first, items)| {
+            let items = (0..items).map(fixture::item).collect();
+            work::Chunk {
+                job,
+                intake,
+                chunk,
+                first,
+                items,
+            }
+        })
 }
 
 fn head() -> impl Strategy<Value = work::Head> {
     let shards = prop::collection::vec(select(vec![0, 1, u16::MAX]), 0..3);
-    (job(), small_or_max_u64(), small_or_max_u32(), small_or_max_u32(), shards, time(), time()).prop_map(
-        |(job, intake, items, chunks, shards, due, keep_until)| work::Head {
-            items,
-            chunks,
-            shards: shards.into(),
-            due,
-            keep_until,
-            ..fixture::head(job, intake, 1, 1, 1)
-        },
+    (
+        job(),
+        small_or_max_u64(),
+        small_or_max_u32(),
+        small_or_max_u32(),
+        shards,
+        time(),
+        time(),
     )
+        .prop_map(
+            |(job, intake, items, chunks, shards, due, keep_until)| work::Head {
+                items,
+                chunks,
+                shards: shards.into(),
+                due,
+                keep_until,
+                ..fixture::head(job, intake, 1, 1, 1)
+            },
+        )
 }
 
 fn release() -> impl Strategy<Value = work::Release> {
-    (job(), small_or_max_u64(), small_or_max_u32(), time(), time()).prop_map(|(job, intake, chunks, due, keep_until)| {
-        work::Release {
+    (
+        job(),
+        small_or_max_u64(),
+        small_or_max_u32(),
+        time(),
+        time(),
+    )
+        .prop_map(|(job, intake, chunks, due, keep_until)| work::Release {
             job,
             intake,
             customer: "water".into(),
@@ -376,8 +411,7 @@
             chunks,
             due,
             keep_until,
-        }
-    })
+        })
 }
 
 fn completions() -> impl Strategy<Value = Vec<work::Completion>> {
@@ -389,13 +423,19 @@
 
 fn part() -> impl Strategy<Value = work::Checkpoint> {
     let state = prop::collection::vec(any::<u8>(), 0..40);
-    (small_or_max_u64(), small_or_max_u32(), small_or_max_u32(), state).prop_map(|(through, part, parts, state)| work::Checkpoint {
-        through,
-        part,
-        parts,
-        version: checkpoint::VERSION,
-        state: state.into(),
-    })
+    (
+        small_or_max_u64(),
+        small_or_max_u32(),
+        small_or_max_u32(),
+        state,
+    )
+        .prop_map(|(through, part, parts, state)| work::Checkpoint {
+            through,
+            part,
+            parts,
+            version: checkpoint::VERSION,
+            state: state.into(),
+        })
 }
 
 fn any_writer() -> impl Strategy<Value = Writer> {
--- a/crates/tinbank-ledger/tests/ledger/claim_world.rs
+++ b/crates/tinbank-ledger/tests/ledger/claim_world.rs
@@ -227,7 +227,8 @@
     fn append(&mut self, owner: usize, records: Vec<Record>) {
         let owner_writer = writer(100 + owner as id::Host, 1);
         let sequence = self.log.len() as u64 + 1;
-        self.log.push(fixture::envelope(owner_writer, sequence, 1, records));
+        self.log
+            .push(fixture::envelope(owner_writer, sequence, 1, records));
     }
 }
 
--- a/crates/tinbank-ledger/tests/ledger/fold.rs
+++ b/crates/tinbank-ledger/tests/ledger/fold.rs
@@ -244,7 +244,8 @@
     let mut duties = Duties::new(std::time::Duration::from_secs(1));
 
     let reports = duties.due(&shard, writer(OWNER, 1), now);
-    reports.iter()
+    reports
+        .iter()
         .for_each(|duty| duties.acknowledged(&shard, duty));
     let local = duties.due(&shard, writer(OWNER, 1), now);
     add(
@@ -291,7 +292,10 @@
 
     let changes = add(
         &mut shard,
-        vec![chunk(2), Record::Release(release_of_second_intake(7 * DAY + 1))],
+        vec![
+            chunk(2),
+            Record::Release(release_of_second_intake(7 * DAY + 1)),
+        ],
     );
 
     assert!(changes.is_empty());
--- a/crates/tinbank-ledger/tests/ledger/lease.rs
+++ b/crates/tinbank-ledger/tests/ledger/lease.rs
@@ -165,10 +165,13 @@
 fn a_holder_without_the_first_rank_hands_over() {
     let mut world = World::new(true);
     world.ranks = [1, 0, 2];
-    world.run(
-        20,
-        |process, _| if process == 1 { ProcessState::Paused } else { ProcessState::Up },
-    );
+    world.run(20, |process, _| {
+        if process == 1 {
+            ProcessState::Paused
+        } else {
+            ProcessState::Up
+        }
+    });
     assert_eq!(world.holder(), Some(0));
 
     world.run(100, |_, _| ProcessState::Up);
--- a/crates/tinbank-ledger/tests/ledger/main.rs
+++ b/crates/tinbank-ledger/tests/ledger/main.rs
@@ -1,5 +1,5 @@
-//! Tests of the state machine of a work shard. `world` simulates a log with hosts that crash, lag and append duplicates;
-//! `model` is the reference implementation that it is checked against.
+//! Tests of the state machine of a work shard. `world` simulates a log with hosts that crash, lag and append
+//! duplicates; `model` is the reference implementation that it is checked against.
 
 mod arbitrary;
 mod claim_world;
--- a/crates/tinbank-ledger/tests/ledger/world.rs
+++ b/crates/tinbank-ledger/tests/ledger/world.rs
@@ -361,8 +361,11 @@
         chunks
             .iter()
             .flat_map(|chunk| {
-                let envelope = log.get(chunk.place().offset).expect("bodies must not be trimmed");
-                let body = result::chunk_at(envelope, chunk.place()).expect("the record must be a chunk");
+                let envelope = log
+                    .get(chunk.place().offset)
+                    .expect("bodies must not be trimmed");
+                let body =
+                    result::chunk_at(envelope, chunk.place()).expect("the record must be a chunk");
                 let results = envelopes(log, chunk).expect("results must not be trimmed");
                 let outcomes = result::outcomes(body, chunk, results);
                 (chunk.first..).zip(outcomes).map(|(item, outcome)| {
