--- a/crates/tinbank-peer/src/endpoint.rs
+++ b/crates/tinbank-peer/src/endpoint.rs
@@ -35,7 +35,7 @@
 };
 
 /// Attempts to find a port that is free for both UDP and TCP, if the settings give port 0.
-const MAX_PORT_ATTEMPTS: usize = 16;
+const PORT_ATTEMPTS: usize = 16;
 /// Queue length of received heartbeats. More are dropped, which is equivalent to loss on the network.
 const HEARTBEAT_QUEUE_LENGTH: usize = 1_024;
 
@@ -49,7 +49,6 @@
     pub writer: Writer,
     /// Accepted keys. The first one signs.
     pub keys: Keys,
-    /// Clock that stamps frames.
     pub clock: Arc<dyn Clock>,
 }
 
@@ -77,9 +76,8 @@
 /// A heartbeat received from a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedHeartbeat {
-    /// Sender, verified by the MAC of the frame.
+    /// Sender. The MAC and the sequence of its frame were verified.
     pub from: Writer,
-    /// Contents of the heartbeat.
     pub heartbeat: Heartbeat,
 }
 
@@ -134,7 +132,8 @@
 }
 
 impl Endpoint {
-    /// Binds both protocols and starts to receive. Requests are rejected as not ready until [`Endpoint::serve`] is called.
+    /// Binds both protocols and starts to receive. Requests are rejected as not ready until [`Endpoint::serve`] is
+    /// called.
     ///
     /// # Errors
     /// Returns an error if the address is unspecified or in use, or if there is no key.
@@ -267,7 +266,7 @@
                 udp.writable().await?;
                 return Ok((tcp, udp));
             }
-            Err(error) if address.port() != 0 || attempts == MAX_PORT_ATTEMPTS => return Err(error),
+            Err(error) if address.port() != 0 || attempts == PORT_ATTEMPTS => return Err(error),
             Err(_) => attempts += 1,
         }
     }
--- a/crates/tinbank-peer/src/stream/client.rs
+++ b/crates/tinbank-peer/src/stream/client.rs
@@ -14,7 +14,8 @@
 use tokio::{io::AsyncWriteExt, net::TcpStream, time::timeout_at};
 
 use super::frame::{
-    self, RequestFrame, HANDSHAKE_TIMEOUT, Hello, MAX_FRAME, MAX_HANDSHAKE_FRAME, Nonce, Position, ResponseFrame, Welcome,
+    self, HANDSHAKE_TIMEOUT, Hello, MAX_FRAME, MAX_HANDSHAKE_FRAME, Nonce, Position, RequestFrame,
+    ResponseFrame, Welcome,
 };
 use crate::endpoint::Identity;
 
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Sends a request over an idle connection, or over a new one if there is none or all fail before the request was sent.
+    /// Sends a request over an idle connection, or over a new one if there is none left that accepts the request.
     pub(crate) async fn ask(
         &self,
         to: SocketAddr,
@@ -129,7 +130,8 @@
         let mut remaining = MAX_RESPONSE_BYTES;
         loop {
             let limit = remaining.min(MAX_FRAME);
-            let read = frame::read::<ResponseFrame>(&mut connection.tcp, &self.identity.keys, limit);
+            let read =
+                frame::read::<ResponseFrame>(&mut connection.tcp, &self.identity.keys, limit);
             let (frame, size) = timeout_at(until.into(), read)
                 .await
                 .map_err(|_| frame::Error::Deadline)??;
@@ -157,7 +159,9 @@
         let mut tcp = TcpStream::connect(to).await?;
         tcp.set_nodelay(true)?;
         let client_nonce = rand::random::<Nonce>();
-        let hello = Hello { nonce: client_nonce };
+        let hello = Hello {
+            nonce: client_nonce,
+        };
         frame::write(&mut tcp, &hello, self.identity.key()).await?;
         let (welcome, _) =
             frame::read::<Welcome>(&mut tcp, &self.identity.keys, MAX_HANDSHAKE_FRAME).await?;
--- a/crates/tinbank-peer/src/stream/server.rs
+++ b/crates/tinbank-peer/src/stream/server.rs
@@ -15,7 +15,8 @@
 use tokio_util::sync::CancellationToken;
 
 use super::frame::{
-    self, RequestFrame, HANDSHAKE_TIMEOUT, Hello, MAX_FRAME, MAX_HANDSHAKE_FRAME, Nonce, Position, ResponseFrame, Welcome,
+    self, HANDSHAKE_TIMEOUT, Hello, MAX_FRAME, MAX_HANDSHAKE_FRAME, Nonce, Position, RequestFrame,
+    ResponseFrame, Welcome,
 };
 use crate::endpoint::Identity;
 
@@ -117,7 +118,8 @@
     }
 
     async fn handshake(&self, tcp: &mut TcpStream) -> Result<(Nonce, Nonce), frame::Error> {
-        let (hello, _) = frame::read::<Hello>(tcp, &self.identity.keys, MAX_HANDSHAKE_FRAME).await?;
+        let (hello, _) =
+            frame::read::<Hello>(tcp, &self.identity.keys, MAX_HANDSHAKE_FRAME).await?;
         let nonce = rand::random::<Nonce>();
         let welcome = Welcome {
             client_nonce: hello.nonce,
@@ -127,8 +129,13 @@
         Ok((hello.nonce, nonce))
     }
 
-    /// Responds to a request by its deadline. A missed deadline closes the connection, since the client no longer waits.
-    async fn handle_request(&self, tcp: &mut TcpStream, request: RequestFrame) -> Result<(), frame::Error> {
+    /// Responds to a request by its deadline. A missed deadline closes the connection, since the client no longer
+    /// waits.
+    async fn handle_request(
+        &self,
+        tcp: &mut TcpStream,
+        request: RequestFrame,
+    ) -> Result<(), frame::Error> {
         self.identity.clock.observe(request.stamp);
         let timeout_left = Duration::from_millis(request.timeout_ms.into()).min(MAX_REQUEST_TIME);
         let until = Instant::now() + timeout_left;
@@ -137,14 +144,20 @@
             .map_err(|_| frame::Error::Deadline)?
     }
 
-    async fn respond(&self, tcp: &mut TcpStream, request: RequestFrame) -> Result<(), frame::Error> {
+    async fn respond(
+        &self,
+        tcp: &mut TcpStream,
+        request: RequestFrame,
+    ) -> Result<(), frame::Error> {
         let Some(answer) = self.answer.get() else {
             let response = Response::Failed {
                 code: tinbank_base::outcome::Code::NotReady,
                 ran: tinbank_base::outcome::Ran::No,
                 message: "the process is starting".into(),
             };
-            return self.send_response(tcp, request.position, 1, true, response).await;
+            return self
+                .send_response(tcp, request.position, 1, true, response)
+                .await;
         };
         let mut responses = answer.answer(request.sender, request.request).await;
         let mut index = 0;
