--- a/crates/tinbank-batch/src/owner/control.rs
+++ b/crates/tinbank-batch/src/owner/control.rs
@@ -14,7 +14,7 @@
     record::{Writer, lease},
 };
 use tinbank_configuration::snapshot;
-use tinbank_ledger::lease::{Step, Terms};
+use tinbank_ledger::lease::{Step, Timings};
 use tinbank_log::writer;
 use tinbank_timeline::Recorder;
 use tokio::{
@@ -47,7 +47,7 @@
     /// Number of work shards in the deployment.
     pub shards: id::Shard,
     /// Timing of leases.
-    pub terms: Terms,
+    pub terms: Timings,
     /// Number of members, in rank order, that follow a shard.
     pub followers: u32,
     /// How long the log keeps records.
--- a/crates/tinbank-batch/src/owner/requests.rs
+++ b/crates/tinbank-batch/src/owner/requests.rs
@@ -148,7 +148,7 @@
         else {
             return answer(reply, Response::NotOwner(None));
         };
-        let known = followed.fold.ask(&claim);
+        let known = followed.fold.claim_status(&claim);
         let kind = ReplyKind::Claimed(claim.clone());
         match known {
             // The settlement may be in the log beyond what was read, so "running" is valid only at the current tail.
--- a/crates/tinbank-batch/src/owner/shard.rs
+++ b/crates/tinbank-batch/src/owner/shard.rs
@@ -12,7 +12,7 @@
     Change,
     checkpoint::Recovery,
     duty::Duties,
-    lease::{self, Contender, Step, Terms, Want},
+    lease::{self, Contender, Step, Timings, Want},
     shard::{Item, Sending, Shard},
 };
 use tokio::{sync::oneshot, task::AbortHandle};
@@ -74,7 +74,7 @@
         shard: id::Shard,
         shards: id::Shard,
         me: Writer,
-        terms: Terms,
+        terms: Timings,
         retention: Duration,
         generation: u64,
         reader: AbortHandle,
@@ -103,7 +103,7 @@
 
     /// Returns the next step for the lease.
     pub(super) fn step(&mut self, stopping: bool, now: Instant) -> Step {
-        self.reads_stalled = self.contender.is_deaf(now);
+        self.reads_stalled = self.contender.is_read_stalled(now);
         // While reads are stalled, appended completions are not read back before the lease is released.
         let items = match self.reads_stalled {
             true => self.active_items.running(),
@@ -168,7 +168,7 @@
         match self.sending(key, false) {
             Sending::Yes => Some(Permit::Send),
             Sending::DispatchFirst => None,
-            Sending::Spent | Sending::Over => Some(Permit::Never),
+            Sending::MaybeSent | Sending::Ended => Some(Permit::Never),
         }
     }
 
@@ -247,7 +247,7 @@
                 let cancelled = self.fold.job(*job).is_some_and(|job| job.cancelled);
                 Response::Cancelled(cancelled)
             }
-            ReplyKind::Claimed(claim) => match self.fold.ask(claim) {
+            ReplyKind::Claimed(claim) => match self.fold.claim_status(claim) {
                 Some(claimed) => Response::Claimed(claimed),
                 None => failed(Code::LogUnavailable, Ran::No, "the claim was not read back"),
             },
--- a/crates/tinbank-batch/src/owner/upkeep.rs
+++ b/crates/tinbank-batch/src/owner/upkeep.rs
@@ -11,7 +11,7 @@
     platform::log::{Log, Stream},
     record::{Envelope, work},
 };
-use tinbank_ledger::{checkpoint, chunk::Chunk, result, retention::Marks, shard::Carry};
+use tinbank_ledger::{checkpoint, chunk::Chunk, result, retention::OffsetTimes, shard::Carry};
 use tinbank_log::writer::Writer;
 
 use super::{
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub(super) struct Upkeep {
     /// Append times of the records read so far.
-    pub(super) marks: Marks,
+    pub(super) marks: OffsetTimes,
     /// Records before this offset will soon be deleted, and some of them are still needed.
     pub(super) due: Option<id::Offset>,
     /// Whether a batch is being appended.
@@ -46,7 +46,7 @@
 impl Upkeep {
     pub(super) fn new(retention: Duration) -> Self {
         Self {
-            marks: Marks::new(check_interval(retention)),
+            marks: OffsetTimes::new(check_interval(retention)),
             due: None,
             in_progress: false,
             read_back_at: 0,
@@ -93,8 +93,8 @@
             .values_mut()
             .filter(|followed| followed.caught_up)
         {
-            let before = followed.upkeep.marks.before(old);
-            if followed.fold.needs_care(before) {
+            let before = followed.upkeep.marks.offset_before(old);
+            if followed.fold.needs_maintenance(before) {
                 // Due records stay due until carried, since the lease needed for that adds new records to the shard.
                 followed.upkeep.due = followed.upkeep.due.max(Some(before));
             }
--- a/crates/tinbank-peer/src/lib.rs
+++ b/crates/tinbank-peer/src/lib.rs
@@ -1,4 +1,4 @@
-//! Moves frames between processes: UDP datagrams and TCP requests, each with a keyed MAC.
+//! Sends and receives authenticated frames between processes, as UDP datagrams and TCP requests.
 //!
 //! See `docs/design/peers.md`.
 
@@ -9,5 +9,5 @@
 mod stream;
 
 pub use clock::Clock;
-pub use endpoint::{Endpoint, Error, Heard, Settings};
+pub use endpoint::{Endpoint, Error, ReceivedHeartbeat, Settings};
 pub use replay::Window;
