--- a/crates/tinbank-cli/src/history.rs
+++ b/crates/tinbank-cli/src/history.rs
@@ -30,7 +30,7 @@
         .map_err(|error| unread(&error))?;
     let mut fold = Fold::default();
     if bounds.first > 0 {
-        fold.trimmed(bounds.first);
+        fold.on_trimmed(bounds.first);
     }
     let mut changes = Vec::new();
     let mut next = bounds.first;
@@ -44,7 +44,7 @@
         }
         for entry in &page.entries {
             let time = time(entry);
-            let judged = fold.take(entry).into_iter();
+            let judged = fold.apply(entry).into_iter();
             changes.extend(judged.map(|judged| Change { judged, time }));
         }
         next = page.next;
--- a/crates/tinbank-configuration/benches/fold.rs
+++ b/crates/tinbank-configuration/benches/fold.rs
@@ -76,7 +76,7 @@
     let objects = (0..28).map(template);
     for (object, body) in objects.chain((0..CUSTOMERS).map(|number| customer(number, 1))) {
         let entry = entry(&fold, object, body);
-        fold.take(&entry);
+        fold.apply(&entry);
     }
     fold
 }
@@ -119,7 +119,7 @@
     criterion.bench_function("one customer's change at 13,000", |bencher| {
         bencher.iter_batched_ref(
             || fold.clone(),
-            |fold| black_box(fold.take(&change)),
+            |fold| black_box(fold.apply(&change)),
             BatchSize::PerIteration,
         );
     });
@@ -128,7 +128,7 @@
     criterion.bench_function("a template's change with 464 customers", |bencher| {
         bencher.iter_batched_ref(
             || fold.clone(),
-            |fold| black_box(fold.take(&change)),
+            |fold| black_box(fold.apply(&change)),
             BatchSize::PerIteration,
         );
     });
--- a/crates/tinbank-configuration/src/fold/replay.rs
+++ b/crates/tinbank-configuration/src/fold/replay.rs
@@ -46,7 +46,7 @@
     }
 
     /// Takes note that the stream now begins at `first`.
-    pub fn trimmed(&mut self, first: id::Offset) {
+    pub fn on_trimmed(&mut self, first: id::Offset) {
         if first > self.state.next() {
             self.gap = Some(Gap {
                 first,
@@ -57,9 +57,9 @@
     }
 
     /// Takes in an entry read from the log, in offset order.
-    pub fn take(&mut self, entry: &Entry) -> Vec<Judged> {
+    pub fn apply(&mut self, entry: &Entry) -> Vec<Judged> {
         let Some(gap) = &mut self.gap else {
-            return self.apply(entry);
+            return self.apply_next(entry);
         };
         gap.entries.push(entry.clone());
         let Ok(envelope) = Envelope::<Record>::decode(&entry.payload) else {
@@ -87,7 +87,7 @@
                         judged.extend(self.adopt(restored));
                     }
                 }
-                None => judged.extend(self.apply(entry)),
+                None => judged.extend(self.apply_next(entry)),
             }
         }
         self.close_gap(&mut judged);
@@ -108,7 +108,7 @@
             .collect()
     }
 
-    fn apply(&mut self, entry: &Entry) -> Vec<Judged> {
+    fn apply_next(&mut self, entry: &Entry) -> Vec<Judged> {
         if entry.offset != self.state.next() {
             return Vec::new();
         }
@@ -132,7 +132,7 @@
             return;
         };
         for entry in &gap.entries {
-            judged.extend(self.apply(entry));
+            judged.extend(self.apply_next(entry));
         }
     }
 }
--- a/crates/tinbank-configuration/src/follower/task.rs
+++ b/crates/tinbank-configuration/src/follower/task.rs
@@ -102,14 +102,14 @@
         match event {
             Event::Record { entry, .. } | Event::Skipped { entry, .. } => self.take(&entry),
             Event::Tail { next, .. } => self.at_tail(next),
-            Event::Trimmed { first } => self.fold.trimmed(first),
+            Event::Trimmed { first } => self.fold.on_trimmed(first),
             Event::Outage { .. } => self.log_lost(),
         }
     }
 
     fn take(&mut self, entry: &Entry) {
         let before = self.fold.state().next();
-        let judged = self.fold.take(entry);
+        let judged = self.fold.apply(entry);
         if entry.offset == before {
             self.history.push(entry);
         }
--- a/crates/tinbank-configuration/src/publish.rs
+++ b/crates/tinbank-configuration/src/publish.rs
@@ -167,12 +167,12 @@
         match event {
             Event::Record { entry, .. } | Event::Skipped { entry, .. } => {
                 // The verdict on a copy says nothing: that on the first one holds.
-                let judged = self.fold.take(&entry).into_iter();
+                let judged = self.fold.apply(&entry).into_iter();
                 let first = judged.filter(|judged| judged.verdict != Verdict::Copy);
                 self.judged
                     .extend(first.map(|judged| (judged.change, judged)));
             }
-            Event::Trimmed { first } => self.fold.trimmed(first),
+            Event::Trimmed { first } => self.fold.on_trimmed(first),
             Event::Outage { error, .. } => self.problem = error.to_string(),
             Event::Tail { .. } => {}
         }
--- a/crates/tinbank-configuration/tests/foreign.rs
+++ b/crates/tinbank-configuration/tests/foreign.rs
@@ -25,11 +25,11 @@
     fn any_records_are_judged(records in prop::collection::vec((0_u32..3, wide(), record()), 0..20), trimmed: bool) {
         let mut fold = Fold::default();
         if trimmed {
-            fold.trimmed(5);
+            fold.on_trimmed(5);
         }
 
         for (offset, (host, sequence, record)) in (0..).zip(records) {
-            fold.take(&entry(offset + if trimmed { 5 } else { 0 }, host, sequence, record));
+            fold.apply(&entry(offset + if trimmed { 5 } else { 0 }, host, sequence, record));
         }
 
         let _ = fold.state().snapshot();
@@ -52,7 +52,7 @@
     fn any_text_is_accepted_or_invalid(text in "\\PC{0,80}", object in object()) {
         let mut fold = Fold::default();
 
-        let judged = fold.take(&entry(0, 1, 1, Record::Put(put(1, object, None, Some(&text)))));
+        let judged = fold.apply(&entry(0, 1, 1, Record::Put(put(1, object, None, Some(&text)))));
 
         prop_assert!(is_judged(&judged), "{:?}", judged);
     }
@@ -65,7 +65,7 @@
         let text: String = text.into_iter().collect();
         let mut fold = Fold::default();
 
-        let judged = fold.take(&entry(0, 1, 1, Record::Put(put(1, template("t"), None, Some(&text)))));
+        let judged = fold.apply(&entry(0, 1, 1, Record::Put(put(1, template("t"), None, Some(&text)))));
 
         prop_assert!(is_judged(&judged), "{:?}", judged);
     }
@@ -83,8 +83,8 @@
         payload: payload.into(),
     };
 
-    let passed_over = fold.take(&later);
-    let judged = fold.take(&ours);
+    let passed_over = fold.apply(&later);
+    let judged = fold.apply(&ours);
 
     assert!(passed_over.is_empty());
     assert_eq!(judged[0].verdict, Verdict::Accepted { revision: 1 });
@@ -97,9 +97,9 @@
 )]
 fn a_checkpoint_that_claims_to_reach_past_itself_is_not_adopted(through: id::Offset) {
     let mut fold = Fold::default();
-    fold.trimmed(5);
+    fold.on_trimmed(5);
 
-    fold.take(&entry(5, 1, 1, checkpoint(through, Vec::new())));
+    fold.apply(&entry(5, 1, 1, checkpoint(through, Vec::new())));
 
     assert_eq!(fold.state().next(), 0);
     assert!(fold.incomplete());
@@ -108,7 +108,7 @@
 #[test]
 fn a_checkpoint_that_holds_a_revision_from_after_it_is_not_adopted() {
     let mut fold = Fold::default();
-    fold.trimmed(5);
+    fold.on_trimmed(5);
     let kept = Kept {
         object: template("t"),
         revision: 9,
@@ -116,7 +116,7 @@
         author: "ann".into(),
     };
 
-    fold.take(&entry(5, 1, 1, checkpoint(4, vec![kept])));
+    fold.apply(&entry(5, 1, 1, checkpoint(4, vec![kept])));
 
     assert!(fold.incomplete());
 }
--- a/crates/tinbank-configuration/tests/publish.rs
+++ b/crates/tinbank-configuration/tests/publish.rs
@@ -27,7 +27,7 @@
     let mut fold = Fold::default();
     let judged: Vec<_> = entries(log)
         .iter()
-        .flat_map(|entry| fold.take(entry))
+        .flat_map(|entry| fold.apply(entry))
         .collect();
     judged
         .iter()
--- a/crates/tinbank-configuration/tests/race.rs
+++ b/crates/tinbank-configuration/tests/race.rs
@@ -148,7 +148,7 @@
         let offset = self.log.push(Stream::Config, payload.clone());
         let entry = Entry { offset, payload };
         self.states.push(self.fold.clone());
-        self.fold.take(&entry);
+        self.fold.apply(&entry);
         self.kinds.push(self.naive.apply(&entry));
     }
 
@@ -291,7 +291,7 @@
     match way {
         Way::Log(index) => story.entries[next..upto(index)]
             .iter()
-            .flat_map(|entry| host.take(entry))
+            .flat_map(|entry| host.apply(entry))
             .collect(),
         Way::Peer(index) => host.offer(&story.entries[next..upto(index)]),
         Way::PeerCheckpoint(index) => host.offer(&stand_ins(&story.states[upto(index)])),
@@ -322,7 +322,7 @@
 
         // One that reads the whole stream.
         let mut reader = Fold::default();
-        let judged: Vec<Judged> = story.entries.iter().flat_map(|entry| reader.take(entry)).collect();
+        let judged: Vec<Judged> = story.entries.iter().flat_map(|entry| reader.apply(entry)).collect();
         story.agrees(&judged)?;
         prop_assert_eq!(judged.len(), story.kinds.concat().len());
         let objects: Vec<_> = reader
@@ -365,7 +365,7 @@
         prop_assume!(story.tail() > 0);
         let first = 1 + cut.index(story.tail());
         let mut host = Fold::default();
-        host.trimmed(first as u64);
+        host.on_trimmed(first as u64);
 
         let offer_at = first + offer_at.index(story.tail() - first + 1);
         for (offset, entry) in story.entries.iter().enumerate().skip(first) {
@@ -374,7 +374,7 @@
                 let at = offer.index(story.tail() + 1);
                 story.agrees(&host.offer(&stand_ins(&story.states[at])))?;
             }
-            let judged = host.take(entry);
+            let judged = host.apply(entry);
             story.agrees(&judged)?;
             let expected = &story.states[host.state().next() as usize];
             prop_assert_eq!(host.state(), expected.state());
@@ -402,7 +402,7 @@
     }
     let mut before = Fold::default();
     for entry in entries(&log) {
-        before.take(&entry);
+        before.apply(&entry);
     }
     let mut restored = Fold::default();
     restored.offer(&stand_ins(&before));
@@ -410,8 +410,8 @@
     push_put(&log, 9, put(1, template("t"), None, Some(TEMPLATE)));
     let last = entries(&log).pop().unwrap();
 
-    let judged = before.take(&last);
-    let judged_by_restored = restored.take(&last);
+    let judged = before.apply(&last);
+    let judged_by_restored = restored.apply(&last);
 
     assert_eq!(Kind::from(&judged[0].verdict), Kind::Accepted(WINDOW));
     assert_eq!(judged, judged_by_restored);
@@ -432,7 +432,7 @@
         push_put(&log, number, put(number.into(), object, None, Some(&big)));
     }
     for entry in entries(&log) {
-        fold.take(&entry);
+        fold.apply(&entry);
     }
     let parts = checkpoint::parts(fold.state());
     let count = parts.len();
@@ -442,12 +442,12 @@
     let trimmed: Vec<Entry> = entries(&log).split_off(5);
 
     let mut whole = Fold::default();
-    whole.trimmed(5);
+    whole.on_trimmed(5);
     let mut missing = whole.clone();
     for (number, entry) in trimmed.iter().enumerate() {
-        whole.take(entry);
+        whole.apply(entry);
         if number != 1 {
-            missing.take(entry);
+            missing.apply(entry);
         }
     }
 
