--- a/crates/tinbank-fleet/src/control.rs
+++ b/crates/tinbank-fleet/src/control.rs
@@ -1,4 +1,4 @@
-//! The control loop: contends for the lease and, while it is held, plans and gives orders.
+//! The control loop: contends for the lease and, while holding it, plans and sends orders.
 
 use std::{
     sync::Arc,
@@ -31,30 +31,30 @@
 };
 
 use crate::{
-    holder::Holder,
+    desired::DesiredArtifacts,
+    lease::LeaseState,
     plan::{Action, Plan},
     reports::Reports,
-    wanted::Wanted,
 };
 
-/// How often the lease and the plan are looked at.
-const EVERY: Duration = Duration::from_millis(500);
-/// How often the holder asks the engines what they hold.
-const REPORTS_EVERY: Duration = Duration::from_secs(2);
-/// How long to wait before asking again when the weight store can't be reached or does not know an artifact.
+/// Interval of lease and planning steps.
+const TICK_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which the lease holder requests reports from the engines.
+const REPORT_INTERVAL: Duration = Duration::from_secs(2);
+/// Delay before requesting tickets again if the weight store is unavailable or does not have an artifact.
 const WEIGHTS_RETRY: Duration = Duration::from_secs(5);
-/// How long to wait before an order that could not be delivered is due again.
+/// Delay before an order that could not be delivered is sent again.
 const ORDER_RETRY: Duration = Duration::from_secs(2);
 
-/// Where the process is in its planned stop.
+/// Phase of a planned stop.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Phase {
-    /// It contends for the lease.
+    /// Contends for the lease.
     #[default]
     Running,
-    /// It gives the lease back.
+    /// Releases the lease.
     Stopping,
-    /// It holds no lease and takes none.
+    /// Neither holds the lease nor contends for it.
     Stopped,
 }
 
@@ -63,89 +63,89 @@
     core: Arc<Core>,
     writer: Writer,
     reader: Reader<record::Lease>,
-    holder: Holder,
+    lease: LeaseState,
     reports: Reports,
     plan: Plan,
-    wanted: Wanted,
-    /// The configuration that `wanted` was collected from.
+    desired: DesiredArtifacts,
+    /// The configuration that `desired` was collected from.
     snapshot: Arc<Snapshot>,
-    reports_at: Option<Instant>,
+    next_reports_at: Option<Instant>,
     phase: watch::Sender<Phase>,
 }
 
 impl Control {
-    /// A loop that has read nothing yet. `phase` is how a planned stop is asked for and answered.
+    /// Creates a control loop that has read nothing yet. A planned stop is requested and confirmed through `phase`.
     pub fn new(core: Arc<Core>, writer: Writer, terms: Terms, phase: watch::Sender<Phase>) -> Self {
         let settings = reader::Settings {
-            wait: EVERY,
+            wait: TICK_INTERVAL,
             ..reader::Settings::default()
         };
         Self {
             reader: Reader::new(core.platform.log.clone(), Stream::Fleet, 0, settings),
-            holder: Holder::new(core.writer, terms),
+            lease: LeaseState::new(core.writer, terms),
             core,
             writer,
             reports: Reports::default(),
             plan: Plan::default(),
-            wanted: Wanted::default(),
+            desired: DesiredArtifacts::default(),
             snapshot: Arc::default(),
-            reports_at: None,
+            next_reports_at: None,
             phase,
         }
     }
 
     /// Runs until the process ends.
     pub async fn run(mut self) {
-        let mut ticks = interval(EVERY);
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                event = self.reader.next() => self.read(event),
+                event = self.reader.next() => self.on_event(event),
                 _ = ticks.tick() => self.tick().await,
             }
         }
     }
 
-    fn read(&mut self, event: Event<record::Lease>) {
+    fn on_event(&mut self, event: Event<record::Lease>) {
         match event {
             Event::Record { entry, envelope } => {
-                let change = self.holder.read(entry.offset, &envelope);
-                self.note_change(change);
+                let change = self.lease.apply(entry.offset, &envelope);
+                self.record_lease_change(change);
             }
-            Event::Tail { .. } => self.holder.read_end(true, Instant::now()),
-            Event::Outage { .. } => self.holder.read_end(false, Instant::now()),
-            Event::Trimmed { first } => self.holder.trimmed(first),
-            Event::Skipped { entry, .. } => self.holder.skip(entry.offset),
+            Event::Tail { .. } => self.lease.on_read_end(true, Instant::now()),
+            Event::Outage { .. } => self.lease.on_read_end(false, Instant::now()),
+            Event::Trimmed { first } => self.lease.on_trimmed(first),
+            Event::Skipped { entry, .. } => self.lease.skip(entry.offset),
         }
     }
 
     async fn tick(&mut self) {
-        self.lease_step();
+        self.step_lease();
         let list = self.core.hosts().borrow().clone();
-        let (Some(term), Some(list)) = (self.holder.term(), list) else {
+        let (Some(term), Some(list)) = (self.lease.term(), list) else {
             self.plan = Plan::default();
             return;
         };
-        self.ask_reports(&list).await;
-        self.collect_wanted();
+        self.refresh_reports(&list).await;
+        self.update_desired();
         let engines = self.reports.engines(&list);
-        let actions = self.plan.step(&self.wanted, &engines, term, Instant::now());
+        let actions = self.plan.step(&self.desired, &engines, term, Instant::now());
         for action in actions {
-            self.act(action, &list).await;
+            self.execute(action, &list).await;
         }
     }
 
-    /// Looks through the services of all customers only when the configuration has changed.
-    fn collect_wanted(&mut self) {
+    /// Collects the desired artifacts again if the configuration has changed.
+    fn update_desired(&mut self) {
         let snapshot = self.core.configuration.load_full();
         if Arc::ptr_eq(&snapshot, &self.snapshot) {
             return;
         }
-        self.wanted = Wanted::from_snapshot(&snapshot);
+        self.desired = DesiredArtifacts::from_snapshot(&snapshot);
         self.snapshot = snapshot;
     }
 
-    fn lease_step(&mut self) {
+    fn step_lease(&mut self) {
         let phase = *self.phase.borrow();
         let want = Want {
             rank: self.rank(),
@@ -153,7 +153,7 @@
             stopping: phase != Phase::Running,
             in_flight: 0,
         };
-        match self.holder.step(want, Instant::now()) {
+        match self.lease.step(want, Instant::now()) {
             Step::Append(record) => self.append(record),
             Step::Wait if phase == Phase::Stopping => {
                 self.phase.send_replace(Phase::Stopped);
@@ -162,12 +162,12 @@
         }
     }
 
-    /// Appends beside the loop: the answer is what the stream shows, not what the append returns.
+    /// Appends in the background. The result is not needed, as the record is read back from the stream.
     fn append(&self, record: record::Lease) {
         let writer = self.writer.clone();
         self.core.spawn(async move {
             if let Err(error) = writer.append(Stream::Fleet, vec![record]).await {
-                log::warn!(event = "lease_append_failed", reason = error.to_string().as_str(); "a lease record may be missing");
+                log::warn!(event = "lease_append_failed", reason = error.to_string().as_str(); "append of a lease record failed");
             }
         });
     }
@@ -181,42 +181,42 @@
         u32::try_from(place).ok()
     }
 
-    async fn ask_reports(&mut self, list: &List) {
+    async fn refresh_reports(&mut self, list: &List) {
         let now = Instant::now();
-        if self.reports_at.is_some_and(|at| now < at) {
+        if self.next_reports_at.is_some_and(|at| now < at) {
             return;
         }
-        self.reports_at = Some(now + REPORTS_EVERY);
+        self.next_reports_at = Some(now + REPORT_INTERVAL);
         self.reports
-            .ask(self.core.platform.upstreams.clone(), list)
+            .refresh(self.core.platform.upstreams.clone(), list)
             .await;
     }
 
-    async fn act(&mut self, action: Action, list: &List) {
+    async fn execute(&mut self, action: Action, list: &List) {
         match action {
-            Action::Ask { upstream, artifact } => self.ask_ticket(upstream, artifact).await,
-            Action::Send {
+            Action::RequestTicket { upstream, artifact } => self.request_ticket(upstream, artifact).await,
+            Action::SendOrder {
                 upstream,
                 order,
                 stop_at,
             } => {
-                self.send(upstream, order, stop_at, list).await;
+                self.send_order(upstream, order, stop_at, list).await;
             }
         }
     }
 
-    async fn ask_ticket(&mut self, upstream: id::Upstream, artifact: Artifact) {
+    async fn request_ticket(&mut self, upstream: id::Upstream, artifact: Artifact) {
         match self.core.platform.weights.ticket(&artifact).await {
-            Ok(ticket) => self.plan.ticket(upstream, artifact, ticket),
+            Ok(ticket) => self.plan.on_ticket(upstream, artifact, ticket),
             Err(error) => {
-                log::info!(event = "weights_refused", upstream, model = artifact.model.as_str(), reason = error.to_string().as_str(); "an engine waits for its weights");
-                self.plan.refused(upstream, &artifact, retry_at(&error));
+                log::info!(event = "weights_refused", upstream, model = artifact.model.as_str(), reason = error.to_string().as_str(); "no ticket from the weight store; the artifact cannot be loaded yet");
+                self.plan.on_ticket_refused(upstream, &artifact, retry_at(&error));
             }
         }
     }
 
-    /// The deadline is checked right before the send: the process may have been paused since the plan was made.
-    async fn send(&mut self, upstream: id::Upstream, order: Order, stop_at: Instant, list: &List) {
+    /// Checks the deadline right before sending, as the process may have been paused since planning.
+    async fn send_order(&mut self, upstream: id::Upstream, order: Order, stop_at: Instant, list: &List) {
         let target = list
             .upstreams
             .iter()
@@ -226,41 +226,41 @@
                 address: listed.address,
             });
         let Some(target) = target.filter(|_| Instant::now() < stop_at) else {
-            self.plan.undelivered(upstream, Instant::now());
+            self.plan.on_order_undelivered(upstream, Instant::now());
             return;
         };
         let fence = order.fence;
         match self.core.platform.upstreams.order(target, order).await {
-            Ok(Verdict::Taken) => self.note(Kind::Ordered { fence }, Some(upstream)),
+            Ok(Verdict::Taken) => self.record_event(Kind::Ordered { fence }, Some(upstream)),
             Ok(Verdict::Stale { seen }) => {
-                log::warn!(event = "order_stale", upstream, fence, seen; "an engine has seen a newer holder");
+                log::warn!(event = "order_stale", upstream, fence, seen; "engine rejected the order, as it has received one from a newer lease holder");
             }
             Err(error) => {
-                log::warn!(event = "order_failed", upstream, reason = error.to_string().as_str(); "an order is given again");
+                log::warn!(event = "order_failed", upstream, reason = error.to_string().as_str(); "order could not be delivered; it will be sent again");
                 self.plan
-                    .undelivered(upstream, Instant::now() + ORDER_RETRY);
+                    .on_order_undelivered(upstream, Instant::now() + ORDER_RETRY);
             }
         }
     }
 
-    fn note_change(&self, change: Option<Change>) {
+    fn record_lease_change(&self, change: Option<Change>) {
         match change {
             Some(Change::Taken(holder)) if holder.writer == self.core.writer => {
-                self.note(
+                self.record_event(
                     Kind::LeaseTaken {
                         epoch: holder.epoch,
                     },
                     None,
                 );
             }
-            Some(Change::Taken(holder)) => self.note(
+            Some(Change::Taken(holder)) => self.record_event(
                 Kind::LeaseLost {
                     epoch: holder.epoch,
                 },
                 None,
             ),
             Some(Change::Released(holder)) if holder.writer == self.core.writer => {
-                self.note(
+                self.record_event(
                     Kind::LeaseReleased {
                         epoch: holder.epoch,
                     },
@@ -271,7 +271,7 @@
         }
     }
 
-    fn note(&self, kind: Kind, upstream: Option<id::Upstream>) {
+    fn record_event(&self, kind: Kind, upstream: Option<id::Upstream>) {
         self.core.recorder.note(
             Subject {
                 upstream,
--- a/crates/tinbank-fleet/src/wanted.rs
+++ b/crates/tinbank-fleet/src/desired.rs
@@ -1,33 +1,33 @@
-//! What the configuration wants loaded on the engines of each pool.
+//! The artifacts that the configuration requires on the engines of each pool.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use tinbank_base::{id, platform::weights::Artifact};
 use tinbank_configuration::Snapshot;
 
-/// Artifacts by pool. Ordered, so that every holder of the lease arrives at the same orders.
+/// Artifacts by pool. They are ordered, so that all lease holders derive the same orders.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Wanted {
+pub struct DesiredArtifacts {
     pools: BTreeMap<id::Pool, BTreeSet<Artifact>>,
 }
 
-impl Wanted {
-    /// Collects what the services of all customers need.
+impl DesiredArtifacts {
+    /// Collects the artifacts of the services of all customers.
     pub fn from_snapshot(snapshot: &Snapshot) -> Self {
-        let mut wanted = Self::default();
+        let mut desired = Self::default();
         let services = snapshot
             .customers
             .values()
             .flat_map(|customer| customer.services.values());
         for service in services {
             if let Some(artifact) = &service.artifact {
-                wanted.add(&service.pool, artifact);
+                desired.add(&service.pool, artifact);
             }
         }
-        wanted
+        desired
     }
 
-    /// Adds one artifact to a pool.
+    /// Adds an artifact to a pool.
     pub fn add(&mut self, pool: &str, artifact: &Artifact) {
         if !self.pools.contains_key(pool) {
             self.pools.insert(pool.to_owned(), BTreeSet::new());
@@ -37,7 +37,7 @@
         }
     }
 
-    /// What an engine that belongs to these pools should have loaded.
+    /// Returns the artifacts that an engine in these pools should have loaded.
     pub fn of_pools<'a>(
         &self,
         pools: impl IntoIterator<Item = &'a id::Pool>,
--- a/crates/tinbank-fleet/src/lib.rs
+++ b/crates/tinbank-fleet/src/lib.rs
@@ -1,14 +1,14 @@
-//! Keeps the models, adapters and versions that the configuration asks for on the engines.
+//! Loads the models, adapters and versions that the configuration requires onto the engines.
 //!
-//! One process at a time gives orders, under a lease in the `fleet` stream. See `docs/design/fleet.md`.
+//! Only the process that holds the lease in the `fleet` stream sends orders. See `docs/design/fleet.md`.
 
 pub mod control;
-pub mod holder;
+pub mod desired;
+pub mod lease;
 pub mod plan;
 pub mod reports;
 pub mod server;
 pub mod settings;
-pub mod wanted;
 
 pub use server::Server;
 pub use settings::Settings;
--- a/crates/tinbank-fleet/src/plan/message.rs
+++ b/crates/tinbank-fleet/src/plan/message.rs
@@ -1,4 +1,4 @@
-//! What the plan takes in and gives out.
+//! Inputs and outputs of the planner.
 
 use std::{
     collections::BTreeSet,
@@ -14,66 +14,66 @@
     },
 };
 
-/// Reports older than this say nothing of what an engine holds now.
+/// Reports that are this old are not used any more.
 pub const REPORT_VALID: Duration = Duration::from_secs(15);
 
-/// An engine as the edge sees it.
+/// An engine with its last report.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    /// Which engine.
+    /// Id of the engine.
     pub upstream: id::Upstream,
     /// The pools it belongs to.
     pub pools: SmallVec<[id::Pool; 2]>,
-    /// Whether it is leaving; it gets no orders then.
+    /// Whether it is leaving. Leaving engines get no orders.
     pub leaving: bool,
-    /// Its last report, and when we read it.
-    pub report: Option<Seen>,
+    /// Its last report.
+    pub report: Option<ReceivedReport>,
 }
 
-/// A report and when it was read.
+/// A report and the time at which it was received.
 #[derive(Clone, Debug)]
-pub struct Seen {
-    /// What the engine said.
+pub struct ReceivedReport {
+    /// The report of the engine.
     pub report: Report,
-    /// When we read it, on our clock.
-    pub at: Instant,
+    /// Time of receipt, by the local clock.
+    pub received_at: Instant,
 }
 
-/// Leave to give orders.
+/// Permission to send orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Term {
-    /// Offset of the lease record: the fencing number of all orders of the term.
+    /// Offset of the lease record, used as the fencing number of all orders of the term.
     pub fence: id::Fence,
-    /// No order is sent after this time: it lies well before the lease can be taken by another.
+    /// No order is sent after this time, which is well before another process can take the lease.
     pub stop_at: Instant,
 }
 
-/// What the edge should do.
+/// An action for the control loop.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Ask the weight store for leave to load an artifact on an engine.
-    Ask {
-        /// For which engine.
+    /// Request a ticket from the weight store to load an artifact onto an engine.
+    RequestTicket {
+        /// The engine.
         upstream: id::Upstream,
-        /// What.
+        /// The artifact.
         artifact: Artifact,
     },
-    /// Give an engine an order, if the deadline has not passed when it is about to be sent.
-    Send {
-        /// To which engine.
+    /// Send an order to an engine, unless the deadline has passed by then.
+    SendOrder {
+        /// The engine.
         upstream: id::Upstream,
         /// The order.
         order: Order,
-        /// The term's last moment for sending.
+        /// Deadline for sending the order.
         stop_at: Instant,
     },
 }
 
 impl Engine {
-    /// What it holds, if its report is fresh enough to act on.
+    /// Returns the loaded artifacts, if the last report is recent enough.
     pub(super) fn loaded(&self, now: Instant) -> Option<BTreeSet<Artifact>> {
-        let seen = self.report.as_ref()?;
-        let fresh = now.saturating_duration_since(seen.at) < REPORT_VALID;
-        fresh.then(|| seen.report.loaded.iter().cloned().collect())
+        let received = self.report.as_ref()?;
+        let is_recent = now.saturating_duration_since(received.received_at) < REPORT_VALID;
+        is_recent.then(|| received.report.loaded.iter().cloned().collect())
     }
 }
--- a/crates/tinbank-fleet/src/plan/mod.rs
+++ b/crates/tinbank-fleet/src/plan/mod.rs
@@ -1,13 +1,13 @@
-//! Decides which engine gets which order next.
+//! Plans the orders for the engines.
 //!
-//! Orders are desired state and are repeated until the engine's own report shows it, so that a late stale
-//! order to an engine that ignores fencing numbers is overwritten. New artifacts are loaded beside the old
-//! ones, which go only when the new ones are in; of the engines of a pool only a few load at a time, so that
-//! online requests keep most of them. See `docs/design/fleet.md`.
+//! An order contains the desired state and is repeated until the engine reports that state. This also corrects engines
+//! that ignore fencing numbers and have obeyed a stale order. Old artifacts are unloaded only after the new ones are
+//! loaded, and only a few engines of a pool load at a time, so that most of them remain available for online requests.
+//! See `docs/design/fleet.md`.
 
+mod loading_budget;
 mod message;
 mod progress;
-mod room;
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -24,14 +24,14 @@
 };
 
 pub use self::{
-    message::{Action, Engine, REPORT_VALID, Seen, Term},
+    loading_budget::LOADING_DIVISOR,
+    message::{Action, Engine, REPORT_VALID, ReceivedReport, Term},
     progress::{REPEAT_AFTER, STUCK_AFTER},
-    room::LOADING_DIVISOR,
 };
-use self::{progress::Progress, room::Room};
-use crate::wanted::Wanted;
+use self::{loading_budget::LoadingBudget, progress::Progress};
+use crate::desired::DesiredArtifacts;
 
-/// State of the planning of one term. It is soft: a new holder starts with an empty one and reads the engines.
+/// Planning state of one term. It is not persisted: a new lease holder starts with an empty plan and reads the reports.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
     engines: BTreeMap<id::Upstream, Progress>,
@@ -39,10 +39,10 @@
 }
 
 impl Plan {
-    /// Decides what to do now.
+    /// Returns the actions that are due.
     pub fn step(
         &mut self,
-        wanted: &Wanted,
+        desired: &DesiredArtifacts,
         engines: &[Engine],
         term: Term,
         now: Instant,
@@ -50,32 +50,32 @@
         if now >= term.stop_at {
             return Vec::new();
         }
-        self.forget_absent(engines);
-        let mut room = Room::new(wanted, engines, now);
+        self.remove_unlisted_engines(engines);
+        let mut budget = LoadingBudget::new(desired, engines, now);
         engines
             .iter()
             .filter(|engine| !engine.leaving)
-            .flat_map(|engine| self.step_engine(wanted, engine, &mut room, term, now))
+            .flat_map(|engine| self.step_engine(desired, engine, &mut budget, term, now))
             .collect()
     }
 
-    /// Takes in a ticket of the weight store.
-    pub fn ticket(&mut self, upstream: id::Upstream, artifact: Artifact, ticket: Ticket) {
+    /// Records a ticket from the weight store.
+    pub fn on_ticket(&mut self, upstream: id::Upstream, artifact: Artifact, ticket: Ticket) {
         let progress = self.engines.entry(upstream).or_default();
-        progress.asked.remove(&artifact);
+        progress.requested.remove(&artifact);
         progress.tickets.insert(artifact, ticket);
     }
 
-    /// Takes in a refusal of the weight store: no artifact is asked for before `retry_at`.
-    pub fn refused(&mut self, upstream: id::Upstream, artifact: &Artifact, retry_at: Instant) {
+    /// Records that the weight store refused a ticket. No tickets are requested before `retry_at`.
+    pub fn on_ticket_refused(&mut self, upstream: id::Upstream, artifact: &Artifact, retry_at: Instant) {
         if let Some(progress) = self.engines.get_mut(&upstream) {
-            progress.asked.remove(artifact);
+            progress.requested.remove(artifact);
         }
         self.retry_tickets_at = Some(retry_at);
     }
 
-    /// Takes in that an order could not be delivered: it is due again at `retry_at`.
-    pub fn undelivered(&mut self, upstream: id::Upstream, retry_at: Instant) {
+    /// Records that an order could not be delivered. It is due again at `retry_at`.
+    pub fn on_order_undelivered(&mut self, upstream: id::Upstream, retry_at: Instant) {
         let sent = self
             .engines
             .get_mut(&upstream)
@@ -87,16 +87,16 @@
 
     fn step_engine(
         &mut self,
-        wanted: &Wanted,
+        desired: &DesiredArtifacts,
         engine: &Engine,
-        room: &mut Room,
+        budget: &mut LoadingBudget,
         term: Term,
         now: Instant,
     ) -> SmallVec<[Action; 2]> {
         let Some(loaded) = engine.loaded(now) else {
             return SmallVec::new();
         };
-        let target = wanted.of_pools(&engine.pools);
+        let target = desired.of_pools(&engine.pools);
         let progress = self.engines.entry(engine.upstream).or_default();
         progress
             .tickets
@@ -106,45 +106,45 @@
             return SmallVec::new();
         }
         let missing: BTreeSet<_> = target.difference(&loaded).cloned().collect();
-        if !missing.is_empty() && !progress.is_stuck() && !room.take(engine) {
+        if !missing.is_empty() && !progress.is_stuck() && !budget.reserve(engine) {
             return SmallVec::new();
         }
         if !progress.has_tickets(&missing) {
-            let may_ask = self.retry_tickets_at.is_none_or(|at| now >= at);
-            return match may_ask {
-                true => ask(engine.upstream, &missing, progress),
+            let may_request = self.retry_tickets_at.is_none_or(|at| now >= at);
+            return match may_request {
+                true => request_tickets(engine.upstream, &missing, progress),
                 false => SmallVec::new(),
             };
         }
-        let order = order(term, &loaded, &target, progress);
-        if progress.is_waiting(&order, now) {
+        let order = next_order(term, &loaded, &target, progress);
+        if progress.is_pending(&order, now) {
             return SmallVec::new();
         }
-        progress.send(order.clone(), now);
-        smallvec![Action::Send {
+        progress.record_sent(order.clone(), now);
+        smallvec![Action::SendOrder {
             upstream: engine.upstream,
             order,
             stop_at: term.stop_at,
         }]
     }
 
-    fn forget_absent(&mut self, engines: &[Engine]) {
+    fn remove_unlisted_engines(&mut self, engines: &[Engine]) {
         let present: BTreeSet<_> = engines.iter().map(|engine| engine.upstream).collect();
         self.engines
             .retain(|upstream, _| present.contains(upstream));
     }
 }
 
-/// Asks for the tickets that are missing and were not asked for yet.
-fn ask(
+/// Requests the missing tickets that were not requested yet.
+fn request_tickets(
     upstream: id::Upstream,
     missing: &BTreeSet<Artifact>,
     progress: &mut Progress,
 ) -> SmallVec<[Action; 2]> {
     let mut actions = SmallVec::new();
     for artifact in missing {
-        if !progress.tickets.contains_key(artifact) && progress.asked.insert(artifact.clone()) {
-            actions.push(Action::Ask {
+        if !progress.tickets.contains_key(artifact) && progress.requested.insert(artifact.clone()) {
+            actions.push(Action::RequestTicket {
                 upstream,
                 artifact: artifact.clone(),
             });
@@ -153,22 +153,22 @@
     actions
 }
 
-/// The next desired state: new beside old while something is missing, the target alone when all of it is in.
-fn order(
+/// Returns the next order: it keeps the loaded artifacts until all artifacts of the target are loaded.
+fn next_order(
     term: Term,
     loaded: &BTreeSet<Artifact>,
     target: &BTreeSet<Artifact>,
     progress: &Progress,
 ) -> Order {
     let complete = target.is_subset(loaded);
-    let desired = if complete {
+    let next_state = if complete {
         target.clone()
     } else {
         target.union(loaded).cloned().collect()
     };
     Order {
         fence: term.fence,
-        loaded: desired.into_iter().collect(),
+        loaded: next_state.into_iter().collect(),
         tickets: progress.tickets.values().copied().collect(),
     }
 }
--- a/crates/tinbank-fleet/src/plan/progress.rs
+++ b/crates/tinbank-fleet/src/plan/progress.rs
@@ -1,4 +1,4 @@
-//! How far one engine's orders are.
+//! Progress of the orders to an engine.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,34 +10,34 @@
     weights::{Artifact, Ticket},
 };
 
-/// How long an order has to show in the engine's report before it is given again.
+/// An order is repeated if the engine's report does not show its effect within this time.
 pub const REPEAT_AFTER: Duration = Duration::from_secs(20);
-/// An engine that was given the same order so often without effect no longer keeps others from loading.
+/// After this many repetitions of an order without effect, an engine no longer counts as loading.
 pub const STUCK_AFTER: u32 = 15;
 
-/// What is known of one engine's orders.
+/// Tickets and the last order of an engine.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Progress {
     pub tickets: BTreeMap<Artifact, Ticket>,
-    pub asked: BTreeSet<Artifact>,
-    pub sent: Option<Sent>,
+    pub requested: BTreeSet<Artifact>,
+    pub sent: Option<SentOrder>,
 }
 
 #[derive(Clone, Debug)]
-pub(super) struct Sent {
+pub(super) struct SentOrder {
     order: Order,
     pub repeat_at: Instant,
-    times: u32,
+    attempts: u32,
 }
 
 impl Progress {
-    pub fn send(&mut self, order: Order, now: Instant) {
-        let before = self.sent.as_ref().filter(|sent| sent.order == order);
-        let times = before.map_or(0, |sent| sent.times) + 1;
-        self.sent = Some(Sent {
+    pub fn record_sent(&mut self, order: Order, now: Instant) {
+        let previous = self.sent.as_ref().filter(|sent| sent.order == order);
+        let attempts = previous.map_or(0, |sent| sent.attempts) + 1;
+        self.sent = Some(SentOrder {
             order,
             repeat_at: now + REPEAT_AFTER,
-            times,
+            attempts,
         });
     }
 
@@ -50,10 +50,10 @@
     pub fn is_stuck(&self) -> bool {
         self.sent
             .as_ref()
-            .is_some_and(|sent| sent.times >= STUCK_AFTER)
+            .is_some_and(|sent| sent.attempts >= STUCK_AFTER)
     }
 
-    pub fn is_waiting(&self, order: &Order, now: Instant) -> bool {
+    pub fn is_pending(&self, order: &Order, now: Instant) -> bool {
         self.sent
             .as_ref()
             .is_some_and(|sent| sent.order == *order && now < sent.repeat_at)
--- a/crates/tinbank-fleet/src/reports.rs
+++ b/crates/tinbank-fleet/src/reports.rs
@@ -1,4 +1,4 @@
-//! What the engines hold, as they report it.
+//! Reports of the engines.
 
 use std::{collections::BTreeMap, sync::Arc, time::Instant};
 
@@ -11,61 +11,62 @@
     },
 };
 
-use crate::plan::{Engine, Seen};
+use crate::plan::{Engine, ReceivedReport};
 
-/// Most questions that are open at once.
-const AT_ONCE: usize = 32;
+/// Maximum number of concurrent report requests.
+const MAX_CONCURRENT_REQUESTS: usize = 32;
 
-/// The last report of each engine. Only the order holder asks, so the cost does not grow with the hosts.
+/// The last report of each engine. Only the lease holder requests reports, so that the cost does not depend on the
+/// number of hosts.
 #[derive(Debug, Default)]
 pub struct Reports {
-    seen: BTreeMap<id::Upstream, Seen>,
+    last: BTreeMap<id::Upstream, ReceivedReport>,
 }
 
 impl Reports {
-    /// Asks every engine on the list once. An engine that gives no answer keeps its last report, which grows old.
-    pub async fn ask(&mut self, upstreams: Arc<dyn Upstreams>, list: &List) {
+    /// Requests a report from each listed engine. If an engine does not answer, its previous report is kept.
+    pub async fn refresh(&mut self, upstreams: Arc<dyn Upstreams>, list: &List) {
         let answers: Vec<_> = stream::iter(targets(list))
-            .map(|target| ask_one(upstreams.clone(), target))
-            .buffer_unordered(AT_ONCE)
+            .map(|target| request_report(upstreams.clone(), target))
+            .buffer_unordered(MAX_CONCURRENT_REQUESTS)
             .collect()
             .await;
-        self.seen.extend(answers.into_iter().flatten());
-        self.seen.retain(|upstream, _| is_listed(list, *upstream));
+        self.last.extend(answers.into_iter().flatten());
+        self.last.retain(|upstream, _| is_listed(list, *upstream));
     }
 
-    /// The engines as the planner sees them.
+    /// Returns the listed engines with their last reports, as input for planning.
     pub fn engines(&self, list: &List) -> Vec<Engine> {
         engines(list)
             .map(|engine| Engine {
                 upstream: engine.upstream,
                 pools: engine.pools.clone(),
                 leaving: self.is_leaving(engine),
-                report: self.seen.get(&engine.upstream).cloned(),
+                report: self.last.get(&engine.upstream).cloned(),
             })
             .collect()
     }
 
     fn is_leaving(&self, engine: &Upstream) -> bool {
-        let says_so = self
-            .seen
+        let reports_leaving = self
+            .last
             .get(&engine.upstream)
-            .is_some_and(|seen| seen.report.leaving);
-        engine.state == State::Leaving || says_so
+            .is_some_and(|received| received.report.leaving);
+        engine.state == State::Leaving || reports_leaving
     }
 }
 
-async fn ask_one(upstreams: Arc<dyn Upstreams>, target: Target) -> Option<(id::Upstream, Seen)> {
+async fn request_report(upstreams: Arc<dyn Upstreams>, target: Target) -> Option<(id::Upstream, ReceivedReport)> {
     match upstreams.report(target).await {
         Ok(report) => Some((
             target.upstream,
-            Seen {
+            ReceivedReport {
                 report,
-                at: Instant::now(),
+                received_at: Instant::now(),
             },
         )),
         Err(error) => {
-            log::debug!(event = "report_failed", upstream = target.upstream, reason = error.to_string().as_str(); "an engine gave no report");
+            log::debug!(event = "report_failed", upstream = target.upstream, reason = error.to_string().as_str(); "engine did not answer the report request");
             None
         }
     }
--- a/crates/tinbank-fleet/src/server.rs
+++ b/crates/tinbank-fleet/src/server.rs
@@ -36,10 +36,10 @@
 }
 
 impl Server {
-    /// Starts the process on threads of its own, so that [`Server::kill`] can end it like a lost host.
+    /// Starts the process on its own threads, so that [`Server::kill`] can simulate the loss of its host.
     ///
     /// # Errors
-    /// An address is taken, or the system gives no threads.
+    /// An address is already in use, or the threads cannot be started.
     pub async fn start(settings: Settings) -> Result<Self, Error> {
         let (runtimes, handles) = Runtimes::start(settings.common.traffic_threads)?;
         let platform = Platform::new(&settings.common);
@@ -47,10 +47,10 @@
         Ok(Self { runtimes, ..server })
     }
 
-    /// Starts the process on runtimes that the caller keeps.
+    /// Starts the process on runtimes of the caller.
     ///
     /// # Errors
-    /// An address is taken.
+    /// An address is already in use.
     pub async fn start_on(
         settings: Settings,
         platform: Platform,
@@ -59,49 +59,49 @@
         on_control(handles, |handles| start(settings, platform, handles)).await
     }
 
-    /// Where operators reach the process.
+    /// Returns the address for operators.
     pub fn http_address(&self) -> SocketAddr {
         self.http_address
     }
 
-    /// Where other processes reach it.
+    /// Returns the address for other processes.
     pub fn peer_address(&self) -> SocketAddr {
         self.core.endpoint.address()
     }
 
-    /// The common part of the process.
+    /// Returns the part that all processes have in common.
     pub fn core(&self) -> &Arc<Core> {
         &self.core
     }
 
-    /// Stops the process: the lease is given back first, so that another takes it at once.
+    /// Stops the process. Releases the lease first, so that another process can take it immediately.
     pub async fn stop(self) {
         self.core.begin_leaving();
         let mut stopped = self.phase.subscribe();
         self.phase.send_replace(Phase::Stopping);
-        let given_back = stopped.wait_for(|phase| *phase == Phase::Stopped);
-        if tokio::time::timeout(Terms::default().silence, given_back)
+        let released = stopped.wait_for(|phase| *phase == Phase::Stopped);
+        if tokio::time::timeout(Terms::default().silence, released)
             .await
             .is_err()
         {
-            log::warn!(event = "lease_kept"; "the lease could not be given back and has to lapse");
+            log::warn!(event = "lease_kept"; "lease could not be released in time and has to expire");
         }
         self.http.end().await;
         self.core.end_leaving().await;
         self.runtimes.end();
     }
 
-    /// Ends the process at once, as when its host is lost.
+    /// Ends the process immediately, as if its host were lost.
     pub fn kill(self) {
         self.core.end();
         self.runtimes.end();
     }
 }
 
-/// The HTTP interface: the operators' endpoints.
+/// Describes the HTTP interface, which consists of the endpoints for operators.
 ///
 /// # Errors
-/// Two endpoints have one path; a fault of ours.
+/// Two endpoints have the same path, which is a bug.
 pub fn describe() -> Result<ApiDescription<Arc<Core>>, Error> {
     let mut api = ApiDescription::new();
     operator::register(&mut api).map_err(|error| Error::Interface(error.to_string()))?;
@@ -140,7 +140,7 @@
     })
 }
 
-/// Answers other processes: the fleet process only has the configuration to give.
+/// Answers requests of other processes. A fleet process only serves the configuration.
 struct Answerer {
     follower: Follower,
 }
--- a/crates/tinbank-fleet/src/settings.rs
+++ b/crates/tinbank-fleet/src/settings.rs
@@ -6,10 +6,10 @@
     schema::{Field, Schema},
 };
 
-/// Settings of the fleet process: those that all processes share.
+/// Settings of the fleet process, which has none besides the common ones.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct Settings {
-    /// What all processes are told.
+    /// Settings common to all processes.
     #[serde(flatten)]
     pub common: Common,
 }
--- a/crates/tinbank-fleet/tests/plan.rs
+++ b/crates/tinbank-fleet/tests/plan.rs
@@ -1,4 +1,4 @@
-//! The planner against engines that obey, ignore, lag and leave.
+//! Planning for engines that obey, ignore orders, report late and leave.
 
 use std::time::{Duration, Instant};
 
@@ -8,67 +8,67 @@
     platform::{upstream::Report, weights::Artifact},
 };
 use tinbank_fleet::{
-    plan::{Action, Engine, Plan, REPEAT_AFTER, REPORT_VALID, STUCK_AFTER, Seen, Term},
-    wanted::Wanted,
+    desired::DesiredArtifacts,
+    plan::{Action, Engine, Plan, REPEAT_AFTER, REPORT_VALID, STUCK_AFTER, ReceivedReport, Term},
 };
 use yare::parameterized;
 
 const POOL: &str = "notes";
 
 #[test]
-fn an_engine_that_holds_the_target_gets_no_order() {
+fn an_engine_with_the_desired_artifacts_gets_no_order() {
     let now = Instant::now();
     let mut plan = Plan::default();
 
-    let actions = plan.step(&wanted("2"), &[engine(1, &["2"], now)], term(now), now);
+    let actions = plan.step(&desired("2"), &[engine(1, &["2"], now)], term(now), now);
 
     assert_eq!(actions, []);
 }
 
 #[test]
-fn the_new_version_is_loaded_beside_the_old_one_which_goes_last() {
+fn the_old_version_is_unloaded_after_the_new_one_is_loaded() {
     let now = Instant::now();
     let mut plan = Plan::default();
-    let wanted = wanted("2");
-    plan.step(&wanted, &[engine(1, &["1"], now)], term(now), now);
-    plan.ticket(1, artifact("2"), 77);
+    let desired = desired("2");
+    plan.step(&desired, &[engine(1, &["1"], now)], term(now), now);
+    plan.on_ticket(1, artifact("2"), 77);
 
-    let beside = plan.step(&wanted, &[engine(1, &["1"], now)], term(now), now);
-    let alone = plan.step(&wanted, &[engine(1, &["1", "2"], now)], term(now), now);
+    let beside = plan.step(&desired, &[engine(1, &["1"], now)], term(now), now);
+    let alone = plan.step(&desired, &[engine(1, &["1", "2"], now)], term(now), now);
 
     assert_eq!(sent(&beside), [(1, vec![artifact("1"), artifact("2")])]);
     assert_eq!(sent(&alone), [(1, vec![artifact("2")])]);
 }
 
 #[test]
-fn an_order_is_repeated_until_the_report_shows_it() {
+fn an_order_without_effect_is_repeated() {
     let now = Instant::now();
     let mut plan = Plan::default();
-    let wanted = wanted("2");
-    plan.step(&wanted, &[engine(1, &["1"], now)], term(now), now);
-    plan.ticket(1, artifact("2"), 77);
-    plan.step(&wanted, &[engine(1, &["1"], now)], term(now), now);
+    let desired = desired("2");
+    plan.step(&desired, &[engine(1, &["1"], now)], term(now), now);
+    plan.on_ticket(1, artifact("2"), 77);
+    plan.step(&desired, &[engine(1, &["1"], now)], term(now), now);
     let later = now + REPEAT_AFTER;
 
-    let waiting = plan.step(&wanted, &[engine(1, &["1"], now)], term(now), now);
-    let again = plan.step(&wanted, &[engine(1, &["1"], later)], term(now), later);
+    let waiting = plan.step(&desired, &[engine(1, &["1"], now)], term(now), now);
+    let again = plan.step(&desired, &[engine(1, &["1"], later)], term(now), later);
 
     assert_eq!(sent(&waiting), []);
     assert_eq!(sent(&again), [(1, vec![artifact("1"), artifact("2")])]);
 }
 
 #[test]
-fn a_stale_order_that_an_engine_obeyed_is_overwritten() {
+fn an_engine_that_obeyed_a_stale_order_is_corrected() {
     let now = Instant::now();
     let mut plan = Plan::default();
     let target = engine(1, &["2"], now);
-    plan.step(&wanted("2"), &[target], term(now), now);
+    plan.step(&desired("2"), &[target], term(now), now);
 
-    let asked = plan.step(&wanted("2"), &[engine(1, &["1"], now)], term(now), now);
+    let actions = plan.step(&desired("2"), &[engine(1, &["1"], now)], term(now), now);
 
     assert_eq!(
-        asked,
-        [Action::Ask {
+        actions,
+        [Action::RequestTicket {
             upstream: 1,
             artifact: artifact("2")
         }]
@@ -88,59 +88,59 @@
         .map(|upstream| engine(upstream, &["1"], now))
         .collect();
 
-    let actions = plan.step(&wanted("2"), &fleet, term(now), now);
+    let actions = plan.step(&desired("2"), &fleet, term(now), now);
 
     assert_eq!(actions.len(), expected);
 }
 
 #[test]
-fn a_pool_that_serves_nothing_loads_everywhere() {
+fn all_engines_of_a_pool_that_serves_nothing_load_at_a_time() {
     let now = Instant::now();
     let mut plan = Plan::default();
     let fleet: Vec<_> = (0..8).map(|upstream| engine(upstream, &[], now)).collect();
 
-    let actions = plan.step(&wanted("2"), &fleet, term(now), now);
+    let actions = plan.step(&desired("2"), &fleet, term(now), now);
 
     assert_eq!(actions.len(), 8);
 }
 
 #[test]
-fn an_engine_that_never_obeys_does_not_keep_the_others_from_loading() {
+fn an_engine_that_never_obeys_does_not_prevent_others_from_loading() {
     let start = Instant::now();
     let mut plan = Plan::default();
-    let wanted = wanted("2");
+    let desired = desired("2");
     let fleet = |at| [engine(1, &["1"], at), engine(2, &["1"], at)];
-    plan.step(&wanted, &fleet(start), term(start), start);
-    plan.ticket(1, artifact("2"), 77);
+    plan.step(&desired, &fleet(start), term(start), start);
+    plan.on_ticket(1, artifact("2"), 77);
 
     let rounds = (0..=STUCK_AFTER).map(|round| start + REPEAT_AFTER * round);
     let last = rounds.fold(Vec::new(), |_, now| {
-        plan.step(&wanted, &fleet(now), term(now), now)
+        plan.step(&desired, &fleet(now), term(now), now)
     });
 
-    let asks_for_the_other = Action::Ask {
+    let request_for_the_other = Action::RequestTicket {
         upstream: 2,
         artifact: artifact("2"),
     };
-    assert!(last.contains(&asks_for_the_other), "{last:?}");
+    assert!(last.contains(&request_for_the_other), "{last:?}");
 }
 
 #[test]
-fn a_refusal_of_the_weight_store_pauses_all_asking() {
+fn a_refusal_of_the_weight_store_delays_all_ticket_requests() {
     let now = Instant::now();
     let mut plan = Plan::default();
     let fleet = [engine(1, &[], now), engine(2, &[], now)];
-    plan.step(&wanted("2"), &fleet, term(now), now);
+    plan.step(&desired("2"), &fleet, term(now), now);
     let retry_at = now + Duration::from_secs(3);
-    plan.refused(1, &artifact("2"), retry_at);
+    plan.on_ticket_refused(1, &artifact("2"), retry_at);
 
-    let before = plan.step(&wanted("2"), &fleet, term(now), now);
-    let after = plan.step(&wanted("2"), &fleet, term(now), retry_at);
+    let before = plan.step(&desired("2"), &fleet, term(now), now);
+    let after = plan.step(&desired("2"), &fleet, term(now), retry_at);
 
     assert_eq!(before, []);
     assert_eq!(
         after,
-        [Action::Ask {
+        [Action::RequestTicket {
             upstream: 1,
             artifact: artifact("2")
         }]
@@ -148,23 +148,23 @@
 }
 
 #[test]
-fn nothing_is_sent_after_the_term_has_to_stop() {
+fn nothing_is_sent_after_the_end_of_the_term() {
     let now = Instant::now();
     let mut plan = Plan::default();
     let term = term(now);
 
-    let actions = plan.step(&wanted("2"), &[engine(1, &["1"], now)], term, term.stop_at);
+    let actions = plan.step(&desired("2"), &[engine(1, &["1"], now)], term, term.stop_at);
 
     assert_eq!(actions, []);
 }
 
 #[test]
-fn an_old_report_is_not_acted_on() {
+fn an_old_report_is_ignored() {
     let now = Instant::now();
     let mut plan = Plan::default();
     let later = now + REPORT_VALID;
 
-    let actions = plan.step(&wanted("2"), &[engine(1, &["1"], now)], term(now), later);
+    let actions = plan.step(&desired("2"), &[engine(1, &["1"], now)], term(now), later);
 
     assert_eq!(actions, []);
 }
@@ -178,15 +178,15 @@
         ..engine(1, &["1"], now)
     };
 
-    let actions = plan.step(&wanted("2"), &[leaving], term(now), now);
+    let actions = plan.step(&desired("2"), &[leaving], term(now), now);
 
     assert_eq!(actions, []);
 }
 
-fn wanted(version: &str) -> Wanted {
-    let mut wanted = Wanted::default();
-    wanted.add(POOL, &artifact(version));
-    wanted
+fn desired(version: &str) -> DesiredArtifacts {
+    let mut desired = DesiredArtifacts::default();
+    desired.add(POOL, &artifact(version));
+    desired
 }
 
 fn artifact(version: &str) -> Artifact {
@@ -197,18 +197,18 @@
     }
 }
 
-fn engine(upstream: id::Upstream, versions: &[&str], at: Instant) -> Engine {
+fn engine(upstream: id::Upstream, versions: &[&str], received_at: Instant) -> Engine {
     let loaded = versions.iter().map(|version| artifact(version)).collect();
     Engine {
         upstream,
         pools: smallvec![POOL.to_owned()],
         leaving: false,
-        report: Some(Seen {
+        report: Some(ReceivedReport {
             report: Report {
                 loaded,
                 ..Report::default()
             },
-            at,
+            received_at,
         }),
     }
 }
@@ -224,10 +224,10 @@
     actions
         .iter()
         .filter_map(|action| match action {
-            Action::Send {
+            Action::SendOrder {
                 upstream, order, ..
             } => Some((*upstream, order.loaded.to_vec())),
-            Action::Ask { .. } => None,
+            Action::RequestTicket { .. } => None,
         })
         .collect()
 }
--- a/crates/tinbank-fleet/tests/process.rs
+++ b/crates/tinbank-fleet/tests/process.rs
@@ -1,4 +1,4 @@
-//! The whole process against the stand-ins, over HTTP on loopback.
+//! The whole process with stand-ins of the platform, over HTTP on loopback.
 
 use std::{
     collections::BTreeSet,
@@ -19,7 +19,7 @@
         config::{Object, Put},
     },
 };
-use tinbank_configuration::{fold::Verdict as Judgement, publish::Publisher};
+use tinbank_configuration::{fold::Verdict as ChangeVerdict, publish::Publisher};
 use tinbank_fleet::{Server, Settings};
 use tinbank_log::{reader, writer};
 use tinbank_platform::{log, upstream};
@@ -29,17 +29,17 @@
 use tinbank_test_support::scrape;
 use tokio::{sync::watch, time::sleep};
 
-/// A test that waits longer than this has failed; it is no measure of speed.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Time after which a wait fails the test.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn engines_come_to_hold_what_the_configuration_asks_for() {
+async fn engines_load_the_artifacts_that_the_configuration_requires() {
     let platform = platform().await;
     publish_service(&platform).await;
 
     let server = Server::start(settings(&platform, 1))
         .await
-        .expect("it starts");
+        .expect("the server starts");
 
     wait_until_loaded(&platform).await;
     let text = scrape::page(server.http_address(), "/metrics").await;
@@ -47,17 +47,17 @@
     assert!(text.contains("tinbank_log_appends_total"), "{text}");
     assert_eq!(catalog::unlisted(&text), Vec::<&str>::new());
     assert_eq!(catalog::unlisted_labels(&text), Vec::<String>::new());
-    assert!(!text.contains("moreton"), "a customer is named: {text}");
+    assert!(!text.contains("moreton"), "the metrics name a customer: {text}");
     server.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_stale_order_to_an_engine_that_ignores_fencing_is_overwritten() {
+async fn an_engine_that_ignores_fencing_and_obeyed_a_stale_order_is_corrected() {
     let platform = platform().await;
     publish_service(&platform).await;
     let server = Server::start(settings(&platform, 1))
         .await
-        .expect("it starts");
+        .expect("the server starts");
     wait_until_loaded(&platform).await;
     let stale = Order {
         fence: 0,
@@ -75,16 +75,16 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn after_the_holder_is_lost_another_process_gives_the_orders() {
+async fn another_process_sends_orders_after_the_lease_holder_is_lost() {
     let platform = platform().await;
     let first = Server::start(settings(&platform, 1))
         .await
-        .expect("it starts");
+        .expect("the server starts");
     wait_for(|| async { holds_lease(&first) }).await;
     first.kill();
     let second = Server::start(settings(&platform, 2))
         .await
-        .expect("it starts");
+        .expect("the server starts");
 
     publish_service(&platform).await;
 
@@ -92,7 +92,7 @@
     second.stop().await;
 }
 
-/// Places of the engines in the settings.
+/// Indexes of the engines in the settings.
 const CHECKS_FENCE: usize = 0;
 const IGNORES_FENCE: usize = 1;
 
@@ -117,7 +117,7 @@
 
 fn settings(platform: &Standin, host: id::Host) -> Settings {
     let address = |service: Option<&tinbank_standin::service::Service>| {
-        service.expect("the stand-in runs it").address
+        service.expect("the stand-in runs the service").address
     };
     let common = Common {
         host,
@@ -130,7 +130,7 @@
 }
 
 async fn publish_service(platform: &Standin) {
-    let address = platform.log().expect("the stand-in runs it").address;
+    let address = platform.log().expect("the stand-in runs the service").address;
     let log = Arc::new(log::Http::new(address));
     let identity = Identity {
         process: Process {
@@ -162,11 +162,11 @@
             author: "test".into(),
         };
         let judged = publisher
-            .put(put, Instant::now() + PATIENCE)
+            .put(put, Instant::now() + TIMEOUT)
             .await
             .expect("the log is up");
         assert!(
-            matches!(judged.verdict, Judgement::Accepted { .. }),
+            matches!(judged.verdict, ChangeVerdict::Accepted { .. }),
             "{judged:?}"
         );
     }
@@ -179,9 +179,9 @@
 }
 
 async fn wait_for<F: Future<Output = bool>>(condition: impl Fn() -> F) {
-    let give_up = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TIMEOUT;
     while !condition().await {
-        assert!(Instant::now() < give_up, "it did not come about");
+        assert!(Instant::now() < deadline, "the condition was not met in time");
         sleep(Duration::from_millis(50)).await;
     }
 }
