--- a/crates/tinbank-configuration/src/check/mod.rs
+++ b/crates/tinbank-configuration/src/check/mod.rs
@@ -192,7 +192,11 @@
             add_finding("attempts", "the number of attempts is 0", "give at least 1");
         }
         if service.kind == Kind::Engine && service.max_tokens == 0 {
-            add_finding("max_tokens", "the maximum number of tokens is 0", "give at least 1");
+            add_finding(
+                "max_tokens",
+                "the maximum number of tokens is 0",
+                "give at least 1",
+            );
         }
         let path = ["services", name, "limits"];
         if service.kind == Kind::Plain && service.limits.tokens_per_second.is_some() {
--- a/crates/tinbank-configuration/src/check/text.rs
+++ b/crates/tinbank-configuration/src/check/text.rs
@@ -93,7 +93,11 @@
     }
 
     /// Deserializes a section separately.
-    pub(super) fn check_section<T: DeserializeOwned>(&self, section: &str, findings: &mut Findings) {
+    pub(super) fn check_section<T: DeserializeOwned>(
+        &self,
+        section: &str,
+        findings: &mut Findings,
+    ) {
         let object = self.value.as_object();
         if let Some(entry) = object.and_then(|object| object.get(section)) {
             self.check_value::<T>(&entry.value, &[section], findings);
@@ -118,7 +122,11 @@
     }
 
     /// Deserializes the value at `path`.
-    fn deserialize_value<T: DeserializeOwned>(&self, value: &Value<'_>, path: &[&str]) -> Result<T, Finding> {
+    fn deserialize_value<T: DeserializeOwned>(
+        &self,
+        value: &Value<'_>,
+        path: &[&str],
+    ) -> Result<T, Finding> {
         let json = serde_json::Value::from(value.clone());
         serde_path_to_error::deserialize(json).map_err(|error| {
             let message = error.inner().to_string();
@@ -147,7 +155,12 @@
             if before.iter().any(|other| other.name.as_str() == name) {
                 let field = path.join(".");
                 let message = "the field is given twice";
-                findings.push(self.finding_at(property.range, field, message, "remove one of them"));
+                findings.push(self.finding_at(
+                    property.range,
+                    field,
+                    message,
+                    "remove one of them",
+                ));
             }
             self.find_duplicates(&property.value, path, findings);
             path.pop();
--- a/crates/tinbank-configuration/src/fold/checkpoint.rs
+++ b/crates/tinbank-configuration/src/fold/checkpoint.rs
@@ -22,7 +22,7 @@
 /// When to write a checkpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Policy {
-    /// Maximum age of the last checkpoint, and of the oldest change after it. Has to be well below the log's retention.
+    /// Maximum age of the last checkpoint and of the oldest change after it. Has to be well below the log's retention.
     pub after: Duration,
     /// Maximum number of changes after the last checkpoint.
     pub changes: usize,
@@ -69,14 +69,14 @@
         .collect()
 }
 
-/// Returns whether a peer created the entry to replace older ones.
+/// Returns whether the entry is a synthetic one, created by a peer to replace older entries.
 ///
 /// Its checkpoint covers the entry's own offset, whereas a checkpoint in the stream covers only earlier ones.
 pub fn is_synthetic(entry: &Entry) -> bool {
     synthetic_envelope(entry).is_some()
 }
 
-/// Returns the envelope of an entry that a peer created to replace older ones.
+/// Returns the envelope of a synthetic entry, and `None` for other entries.
 pub(super) fn synthetic_envelope(entry: &Entry) -> Option<Envelope<Record>> {
     let envelope = Envelope::<Record>::decode(&entry.payload).ok()?;
     let own = |record: &Record| matches!(record, Record::Checkpoint { through, .. } if *through == entry.offset);
@@ -231,12 +231,21 @@
             || self.last.is_some_and(|last| old(last.started_at))
     }
 
-    fn record_part(&mut self, checkpoint: CheckpointId, part: u32, offset: id::Offset, at: SystemTime) {
-        let partial = self.partial.entry(checkpoint).or_insert_with(|| PartialCheckpoint {
-            parts: BTreeSet::new(),
-            first: offset,
-            started_at: at,
-        });
+    fn record_part(
+        &mut self,
+        checkpoint: CheckpointId,
+        part: u32,
+        offset: id::Offset,
+        at: SystemTime,
+    ) {
+        let partial = self
+            .partial
+            .entry(checkpoint)
+            .or_insert_with(|| PartialCheckpoint {
+                parts: BTreeSet::new(),
+                first: offset,
+                started_at: at,
+            });
         partial.parts.insert(part);
         if partial.parts.len() < checkpoint.parts as usize {
             return;
@@ -246,12 +255,16 @@
             first: partial.first,
             started_at: partial.started_at,
         };
-        if self.last.is_some_and(|last| last.through > complete.through) {
+        if self
+            .last
+            .is_some_and(|last| last.through > complete.through)
+        {
             return;
         }
         self.last = Some(complete);
         self.uncovered
             .retain(|change| change.offset > complete.through);
-        self.partial.retain(|checkpoint, _| checkpoint.through > complete.through);
+        self.partial
+            .retain(|checkpoint, _| checkpoint.through > complete.through);
     }
 }
--- a/crates/tinbank-configuration/src/fold/replay.rs
+++ b/crates/tinbank-configuration/src/fold/replay.rs
@@ -83,7 +83,8 @@
                     let limit = entry.offset.saturating_add(1);
                     let restored = collector.add(limit, envelope);
                     if let Some(restored) = restored {
-                        self.coverage.record_restored_state(entry.offset, created_at);
+                        self.coverage
+                            .record_restored_state(entry.offset, created_at);
                         judged.extend(self.advance_to(restored));
                     }
                 }
--- a/crates/tinbank-configuration/src/fold/state.rs
+++ b/crates/tinbank-configuration/src/fold/state.rs
@@ -232,7 +232,11 @@
             }
         }
         if !failed.is_empty() {
-            return Err(failed.into_iter().take(MAX_NAMED_CUSTOMERS).map(invalid_customer_finding).collect());
+            return Err(failed
+                .into_iter()
+                .take(MAX_NAMED_CUSTOMERS)
+                .map(invalid_customer_finding)
+                .collect());
         }
         for (customer, keys) in resolved {
             self.activate_customer(customer, &keys);
@@ -404,7 +408,11 @@
 }
 
 fn template_in_use_finding(name: &str, users: &BTreeSet<id::Customer>) -> Finding {
-    let named: Vec<&str> = users.iter().take(MAX_NAMED_CUSTOMERS).map(String::as_str).collect();
+    let named: Vec<&str> = users
+        .iter()
+        .take(MAX_NAMED_CUSTOMERS)
+        .map(String::as_str)
+        .collect();
     let customers = users.len();
     Finding::whole_text(
         format!(
--- a/crates/tinbank-configuration/src/follower/mod.rs
+++ b/crates/tinbank-configuration/src/follower/mod.rs
@@ -1,6 +1,6 @@
 //! Follows the configuration stream and activates each new state.
 //!
-//! Entries come from the log or, if it is slow or unavailable, from peers. This way a new host can serve during an outage
+//! Entries come from the log or, if it is slow or unavailable, from peers, so that a new host can serve during an outage
 //! of the log. See `docs/design/configuration.md`.
 
 mod history;
--- a/crates/tinbank-configuration/src/follower/task.rs
+++ b/crates/tinbank-configuration/src/follower/task.rs
@@ -181,11 +181,12 @@
         if self.peer_requests.is_empty()
             && let Some(to) = source.choose_newer(next)
         {
-            let request = source.clone().request_entries(to, next, self.settings.peer_timeout);
+            let request = source
+                .clone()
+                .request_entries(to, next, self.settings.peer_timeout);
             self.peer_requests.spawn(request);
         }
         let settled = self
-           
             .outage_since
             .is_some_and(|since| since.elapsed() >= self.settings.peer_discovery_time);
         let newest = source.newest_ready_offset();
@@ -262,7 +263,8 @@
         let Some(writer) = self.checkpoints.clone() else {
             return;
         };
-        let can_write = self.checkpoint_writes.is_empty() && self.reader.at_tail() && !self.fold.has_gap();
+        let can_write =
+            self.checkpoint_writes.is_empty() && self.reader.at_tail() && !self.fold.has_gap();
         if !can_write || self.fold.state().next() == 0 {
             return;
         }
@@ -272,7 +274,8 @@
         let trimmed = bounds.is_some_and(|bounds| coverage.is_checkpoint_trimmed(bounds.first));
         if trimmed || coverage.is_checkpoint_due(self.settings.checkpoint, now) {
             let parts = checkpoint::parts(self.fold.state());
-            self.checkpoint_writes.spawn(write_checkpoint(writer, parts));
+            self.checkpoint_writes
+                .spawn(write_checkpoint(writer, parts));
         }
     }
 
--- a/crates/tinbank-configuration/src/publish.rs
+++ b/crates/tinbank-configuration/src/publish.rs
@@ -140,7 +140,8 @@
         let judged = self.judged.get(&change).cloned();
         judged.ok_or_else(|| Error::Unknown {
             change,
-            reason: "it was published earlier, and its verdict is no longer in the stream".to_owned(),
+            reason: "it was published earlier, and its verdict is no longer in the stream"
+                .to_owned(),
         })
     }
 
--- a/crates/tinbank-configuration/tests/check.rs
+++ b/crates/tinbank-configuration/tests/check.rs
@@ -75,7 +75,11 @@
     let findings = check::template(body).unwrap_err();
 
     let first = &findings[0];
-    assert_eq!(format!("{}:{}", first.line, first.column), position, "{first}");
+    assert_eq!(
+        format!("{}:{}", first.line, first.column),
+        position,
+        "{first}"
+    );
 }
 
 #[test]
@@ -147,7 +151,10 @@
 
     let findings = check::template(body).unwrap_err();
 
-    assert_eq!(positions(&findings), ["1:66 services.a.limits.pending_items"]);
+    assert_eq!(
+        positions(&findings),
+        ["1:66 services.a.limits.pending_items"]
+    );
 }
 
 #[test]
--- a/crates/tinbank-configuration/tests/drain.rs
+++ b/crates/tinbank-configuration/tests/drain.rs
@@ -46,7 +46,8 @@
 
 #[test]
 fn mistakes_in_a_drain_are_reported_with_their_positions() {
-    let findings = check::drain("{\n  \"state\": \"away\"\n}").expect_err("the state does not exist");
+    let findings =
+        check::drain("{\n  \"state\": \"away\"\n}").expect_err("the state does not exist");
 
     assert_eq!(findings[0].line, 2, "{findings:?}");
     assert!(check::drain(r#"{ "state": "leaving" }"#).is_ok());
--- a/crates/tinbank-configuration/tests/foreign.rs
+++ b/crates/tinbank-configuration/tests/foreign.rs
@@ -156,21 +156,25 @@
 }
 
 fn kept() -> impl Strategy<Value = Kept> {
-    (object(), small_or_max_u64(), prop::option::of(body())).prop_map(|(object, revision, body)| Kept {
-        object,
-        revision,
-        body,
-        author: "ann".into(),
+    (object(), small_or_max_u64(), prop::option::of(body())).prop_map(|(object, revision, body)| {
+        Kept {
+            object,
+            revision,
+            body,
+            author: "ann".into(),
+        }
     })
 }
 
 fn recent() -> impl Strategy<Value = Recent> {
-    (small_or_max_u64(), 0_u32..3, small_or_max_u64(), 0_u128..4).prop_map(|(offset, host, sequence, change)| Recent {
-        offset,
-        writer: writer(host),
-        sequence,
-        changes: [change].into_iter().collect(),
-    })
+    (small_or_max_u64(), 0_u32..3, small_or_max_u64(), 0_u128..4).prop_map(
+        |(offset, host, sequence, change)| Recent {
+            offset,
+            writer: writer(host),
+            sequence,
+            changes: [change].into_iter().collect(),
+        },
+    )
 }
 
 fn object() -> impl Strategy<Value = Object> {
--- a/crates/tinbank-configuration/tests/judge.rs
+++ b/crates/tinbank-configuration/tests/judge.rs
@@ -49,7 +49,9 @@
     let (state, verdicts) = verdicts(base());
 
     let snapshot = state.snapshot();
-    let customer = snapshot.by_key("key").expect("the customer is found by its key");
+    let customer = snapshot
+        .by_key("key")
+        .expect("the customer is found by its key");
     assert_eq!(verdicts[1], Verdict::Accepted { revision: 1 });
     assert_eq!((customer.name.as_str(), customer.revision), ("c", 1));
     assert_eq!(customer.streams["sweep"].service, "notes");
--- a/crates/tinbank-configuration/tests/publish.rs
+++ b/crates/tinbank-configuration/tests/publish.rs
@@ -75,7 +75,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_outcome_is_unknown_after_an_outage_during_the_append_until_the_change_is_published_again() {
+async fn the_outcome_is_unknown_after_an_outage_during_the_append_until_the_change_is_published_again()
+ {
     let log = Memory::new();
     log.fault_next_append(Fault::SlowAnswer(Duration::from_secs(5)));
     let mut operator = publisher(&log, 1);
--- a/crates/tinbank-configuration/tests/race.rs
+++ b/crates/tinbank-configuration/tests/race.rs
@@ -5,8 +5,8 @@
 mod support;
 
 use bytes::Bytes;
-use reference::{Kind, Reference};
 use proptest::{prelude::*, sample::Index};
+use reference::{Kind, Reference};
 use support::*;
 use tinbank_base::{
     id,
@@ -177,7 +177,11 @@
                 operator,
             } => {
                 let object = object(of);
-                let current = builder.reference.objects.get(&object).map(|kept| kept.revision);
+                let current = builder
+                    .reference
+                    .objects
+                    .get(&object)
+                    .map(|kept| kept.revision);
                 let base = match base {
                     Base::Current => current,
                     Base::None => None,
@@ -294,7 +298,9 @@
             .flat_map(|entry| host.apply(entry))
             .collect(),
         Delivery::Peer(index) => host.apply_from_peer(&scenario.entries[next..upto(index)]),
-        Delivery::PeerCheckpoint(index) => host.apply_from_peer(&synthetic_checkpoint(&scenario.states[upto(index)])),
+        Delivery::PeerCheckpoint(index) => {
+            host.apply_from_peer(&synthetic_checkpoint(&scenario.states[upto(index)]))
+        }
         Delivery::Gap(index) => {
             let missing = 1 + upto(index);
             host.apply_from_peer(scenario.entries.get(missing..).unwrap_or_default())
@@ -413,7 +419,10 @@
     let judged = before.apply(&last);
     let judged_by_restored = restored.apply(&last);
 
-    assert_eq!(Kind::from(&judged[0].verdict), Kind::Accepted(WINDOW_OFFSETS));
+    assert_eq!(
+        Kind::from(&judged[0].verdict),
+        Kind::Accepted(WINDOW_OFFSETS)
+    );
     assert_eq!(judged, judged_by_restored);
     assert_eq!(before.state(), restored.state());
 }
