--- a/crates/tinbank-fleet/src/control.rs
+++ b/crates/tinbank-fleet/src/control.rs
@@ -129,7 +129,9 @@
         self.refresh_reports(&list).await;
         self.update_desired();
         let engines = self.reports.engines(&list);
-        let actions = self.plan.step(&self.desired, &engines, term, Instant::now());
+        let actions = self
+            .plan
+            .step(&self.desired, &engines, term, Instant::now());
         for action in actions {
             self.execute(action, &list).await;
         }
@@ -194,7 +196,9 @@
 
     async fn execute(&mut self, action: Action, list: &List) {
         match action {
-            Action::RequestTicket { upstream, artifact } => self.request_ticket(upstream, artifact).await,
+            Action::RequestTicket { upstream, artifact } => {
+                self.request_ticket(upstream, artifact).await
+            }
             Action::SendOrder {
                 upstream,
                 order,
@@ -210,13 +214,20 @@
             Ok(ticket) => self.plan.on_ticket(upstream, artifact, ticket),
             Err(error) => {
                 log::info!(event = "weights_refused", upstream, model = artifact.model.as_str(), reason = error.to_string().as_str(); "no ticket from the weight store; the artifact cannot be loaded yet");
-                self.plan.on_ticket_refused(upstream, &artifact, retry_at(&error));
+                self.plan
+                    .on_ticket_refused(upstream, &artifact, retry_at(&error));
             }
         }
     }
 
     /// Checks the deadline right before sending, as the process may have been paused since planning.
-    async fn send_order(&mut self, upstream: id::Upstream, order: Order, stop_at: Instant, list: &List) {
+    async fn send_order(
+        &mut self,
+        upstream: id::Upstream,
+        order: Order,
+        stop_at: Instant,
+        list: &List,
+    ) {
         let target = list
             .upstreams
             .iter()
--- a/crates/tinbank-fleet/src/lease.rs
+++ b/crates/tinbank-fleet/src/lease.rs
@@ -1,8 +1,8 @@
 //! The lease for sending orders: folds the `fleet` stream and determines the term of this process.
 //!
-//! The stream is trimmed and has no checkpoints, so the validity of a take must not depend on much older entries. A take
-//! is valid if it directly follows the last entry, of any kind, that its writer had read. Its epoch is derived from its
-//! offset. Readers reach the same result wherever they begin. See `docs/design/fleet.md`.
+//! The stream is trimmed and has no checkpoints, so the validity of a take, the record by which a process takes the lease,
+//! must not depend on much older entries. A take is valid if it directly follows the last entry, of any kind, that its
+//! writer had read. Its epoch is derived from its offset. Readers reach the same result wherever they begin. See `docs/design/fleet.md`.
 
 use std::time::{Duration, Instant};
 
@@ -37,9 +37,9 @@
     dedupe: Dedupe,
     contender: Contender,
     fence: Option<id::Fence>,
-    /// Time of the oldest own step that was not read back yet.
+    /// Time of the oldest own step since the last one was read back.
     oldest_pending_step: Option<Instant>,
-    /// Time of the last own step that was read back. Others start to measure our silence later than this.
+    /// Time of the latest own step that is known to have been read back. Contenders measure the silence from a later time.
     confirmed_at: Option<Instant>,
 }
 
--- a/crates/tinbank-fleet/src/plan/loading_budget.rs
+++ b/crates/tinbank-fleet/src/plan/loading_budget.rs
@@ -7,7 +7,7 @@
 use super::Engine;
 use crate::desired::DesiredArtifacts;
 
-/// One engine of a pool may load at a time for each multiple of this number that the pool has, and at least one.
+/// The number of engines in a pool divided by this, but at least one, may load at a time.
 pub const LOADING_DIVISOR: usize = 8;
 
 /// Number of engines per pool that may still start or continue loading in this planning step.
@@ -48,10 +48,11 @@
 
     /// Returns whether an engine may load, and if so, reserves a place in each of its pools.
     pub fn reserve(&mut self, engine: &Engine) -> bool {
-        let free = engine
-            .pools
-            .iter()
-            .all(|pool| self.remaining.get(pool).is_some_and(|remaining| *remaining > 0));
+        let free = engine.pools.iter().all(|pool| {
+            self.remaining
+                .get(pool)
+                .is_some_and(|remaining| *remaining > 0)
+        });
         if free {
             for pool in &engine.pools {
                 if let Some(remaining) = self.remaining.get_mut(pool) {
--- a/crates/tinbank-fleet/src/plan/mod.rs
+++ b/crates/tinbank-fleet/src/plan/mod.rs
@@ -67,7 +67,12 @@
     }
 
     /// Records that the weight store refused a ticket. No tickets are requested before `retry_at`.
-    pub fn on_ticket_refused(&mut self, upstream: id::Upstream, artifact: &Artifact, retry_at: Instant) {
+    pub fn on_ticket_refused(
+        &mut self,
+        upstream: id::Upstream,
+        artifact: &Artifact,
+        retry_at: Instant,
+    ) {
         if let Some(progress) = self.engines.get_mut(&upstream) {
             progress.requested.remove(artifact);
         }
--- a/crates/tinbank-fleet/src/plan/progress.rs
+++ b/crates/tinbank-fleet/src/plan/progress.rs
@@ -12,7 +12,7 @@
 
 /// An order is repeated if the engine's report does not show its effect within this time.
 pub const REPEAT_AFTER: Duration = Duration::from_secs(20);
-/// After this many repetitions of an order without effect, an engine no longer counts as loading.
+/// Once the same order was sent this many times without effect, its engine no longer prevents others from loading.
 pub const STUCK_AFTER: u32 = 15;
 
 /// Tickets and the last order of an engine.
--- a/crates/tinbank-fleet/src/reports.rs
+++ b/crates/tinbank-fleet/src/reports.rs
@@ -56,7 +56,10 @@
     }
 }
 
-async fn request_report(upstreams: Arc<dyn Upstreams>, target: Target) -> Option<(id::Upstream, ReceivedReport)> {
+async fn request_report(
+    upstreams: Arc<dyn Upstreams>,
+    target: Target,
+) -> Option<(id::Upstream, ReceivedReport)> {
     match upstreams.report(target).await {
         Ok(report) => Some((
             target.upstream,
--- a/crates/tinbank-fleet/tests/plan.rs
+++ b/crates/tinbank-fleet/tests/plan.rs
@@ -9,7 +9,7 @@
 };
 use tinbank_fleet::{
     desired::DesiredArtifacts,
-    plan::{Action, Engine, Plan, REPEAT_AFTER, REPORT_VALID, STUCK_AFTER, ReceivedReport, Term},
+    plan::{Action, Engine, Plan, REPEAT_AFTER, REPORT_VALID, ReceivedReport, STUCK_AFTER, Term},
 };
 use yare::parameterized;
 
--- a/crates/tinbank-fleet/tests/process.rs
+++ b/crates/tinbank-fleet/tests/process.rs
@@ -47,7 +47,10 @@
     assert!(text.contains("tinbank_log_appends_total"), "{text}");
     assert_eq!(catalog::unlisted(&text), Vec::<&str>::new());
     assert_eq!(catalog::unlisted_labels(&text), Vec::<String>::new());
-    assert!(!text.contains("moreton"), "the metrics name a customer: {text}");
+    assert!(
+        !text.contains("moreton"),
+        "the metrics name a customer: {text}"
+    );
     server.stop().await;
 }
 
@@ -130,7 +133,10 @@
 }
 
 async fn publish_service(platform: &Standin) {
-    let address = platform.log().expect("the stand-in runs the service").address;
+    let address = platform
+        .log()
+        .expect("the stand-in runs the service")
+        .address;
     let log = Arc::new(log::Http::new(address));
     let identity = Identity {
         process: Process {
@@ -181,7 +187,10 @@
 async fn wait_for<F: Future<Output = bool>>(condition: impl Fn() -> F) {
     let deadline = Instant::now() + TIMEOUT;
     while !condition().await {
-        assert!(Instant::now() < deadline, "the condition was not met in time");
+        assert!(
+            Instant::now() < deadline,
+            "the condition was not met in time"
+        );
         sleep(Duration::from_millis(50)).await;
     }
 }
