--- a/crates/tinbank-batch/src/runner/pool/place.rs
+++ b/crates/tinbank-batch/src/runner/pool/place.rs
@@ -6,7 +6,7 @@
 use tinbank_admission::Gate;
 use tinbank_base::{id, platform::hosts};
 use tinbank_configuration::template::Traffic;
-use tinbank_routing::choice::{RouteRequest, Choice};
+use tinbank_routing::choice::{Choice, RouteRequest};
 
 use super::Pool;
 use crate::runner::{attempt::Placement, task::Task};
@@ -67,7 +67,9 @@
             let wanted = each + self.isolation.running(*upstream);
             let wanted = u16::try_from(wanted).unwrap_or(u16::MAX);
             let customer = &task.flow.customer;
-            self.deps.gate.request_credits(*upstream, customer, wanted, due, now);
+            self.deps
+                .gate
+                .request_credits(*upstream, customer, wanted, due, now);
         }
     }
 }
--- a/crates/tinbank-online/src/gate.rs
+++ b/crates/tinbank-online/src/gate.rs
@@ -82,7 +82,12 @@
     }
 
     /// Answers another host's claim request for limits kept here.
-    pub(crate) fn on_claim_request(&self, from: Writer, ask: &ClaimRequest, now: Instant) -> Answer {
+    pub(crate) fn on_claim_request(
+        &self,
+        from: Writer,
+        ask: &ClaimRequest,
+        now: Instant,
+    ) -> Answer {
         self.keeper().on_claim_request(from, ask, now)
     }
 
--- a/crates/tinbank-online/tests/stop.rs
+++ b/crates/tinbank-online/tests/stop.rs
@@ -4,7 +4,7 @@
 
 use std::time::Instant;
 
-use support::{ClusterOptions, Cluster, chat, chat_body, streamed_body, wait_until, expected_text};
+use support::{Cluster, ClusterOptions, chat, chat_body, expected_text, streamed_body, wait_until};
 use tinbank_base::frame::heartbeat::Leaving;
 use tinbank_online::Server;
 
@@ -110,7 +110,10 @@
         list: u64::MAX,
     };
 
-    cluster.server().table().apply_leaving(leaving, Instant::now());
+    cluster
+        .server()
+        .table()
+        .apply_leaving(leaving, Instant::now());
 
     let known_everywhere = || {
         let mut tables = cluster.servers.iter().map(Server::table);
