--- a/crates/tinbank-batch/src/runner/concurrency_gate.rs
+++ b/crates/tinbank-batch/src/runner/concurrency_gate.rs
@@ -91,7 +91,7 @@
 
 impl fmt::Debug for ConcurrencyGate {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Room")
+        f.debug_struct("ConcurrencyGate")
             .field("limit", &self.limit)
             .field("inside", &*self.shared.lock())
             .finish()
