--- a/crates/tinbank-batch/src/owner/outbox.rs
+++ b/crates/tinbank-batch/src/owner/outbox.rs
@@ -14,7 +14,7 @@
 const APPEND_BYTES: usize = 256 << 10;
 /// How long a completion waits for others to share its append while items of the shard are running.
 const BATCHING_DELAY: Duration = Duration::from_millis(50);
-/// Encoded size of a completion without its answer, in bytes.
+/// Approximate encoded size of a completion without its answer, in bytes.
 const OVERHEAD: usize = 32;
 
 /// Completions of one shard that are not known to be appended.
--- a/crates/tinbank-batch/src/runner/retry.rs
+++ b/crates/tinbank-batch/src/runner/retry.rs
@@ -35,8 +35,8 @@
 
 /// Decides whether to retry after a failed attempt.
 ///
-/// An attempt that certainly did not run is retried without limit, since the item is not at fault. One that may have run
-/// is retried only if the item is repeatable.
+/// A rejected request fails at once. Any other attempt that certainly did not run is retried without limit, since the item
+/// is not at fault. One that may have run is retried only if the item is repeatable and within its limits.
 pub fn decide(error: &Error, history: FailureHistory) -> Verdict {
     if let Kind::Rejected { .. } = error.kind {
         return fail(Code::UpstreamRejected, error);
--- a/crates/tinbank-batch/tests/runner.rs
+++ b/crates/tinbank-batch/tests/runner.rs
@@ -60,7 +60,7 @@
     malformed = { Ran::No, rejected(), history(true, 0), Some(Code::UpstreamRejected) },
     exceeds_loss_limit = { Ran::Unknown, cut(), FailureHistory { exceeds_loss_limit: true, ..history(true, 1) }, Some(Code::UpstreamFailed) },
 )]
-fn retries_only_attempts_that_did_not_run_or_are_repeatable(
+fn the_retry_decision_follows_the_failure_and_its_history(
     ran: Ran,
     kind: Kind,
     history: FailureHistory,
--- a/crates/tinbank-batch/tests/session.rs
+++ b/crates/tinbank-batch/tests/session.rs
@@ -167,7 +167,7 @@
 }
 
 #[tokio::test]
-async fn invalid_requests_have_distinct_status_codes() {
+async fn invalid_requests_are_rejected_with_their_status_code() {
     let (_world, hosts) = world_of(1);
     let caller = hosts[0].session("key-moreton");
     let id = caller.submit_accepted(None, lines(0, 1)).await;
