--- a/crates/tinbank-fleet/src/control.rs
+++ b/crates/tinbank-fleet/src/control.rs
@@ -169,7 +169,7 @@
         let writer = self.writer.clone();
         self.core.spawn(async move {
             if let Err(error) = writer.append(Stream::Fleet, vec![record]).await {
-                log::warn!(event = "lease_append_failed", reason = error.to_string().as_str(); "append of a lease record failed");
+                log::warn!(event = "lease_append_failed", reason = error.to_string().as_str(); "append of a lease record failed; the record may be missing");
             }
         });
     }
