--- a/crates/tinbank-membership/src/probe.rs
+++ b/crates/tinbank-membership/src/probe.rs
@@ -58,7 +58,9 @@
     }
 
     pub(crate) fn suspect(&mut self, process: id::Process, now: Instant) {
-        self.suspects.entry(process).or_insert(now + SUSPICION_TIMEOUT);
+        self.suspects
+            .entry(process)
+            .or_insert(now + SUSPICION_TIMEOUT);
     }
 
     pub(crate) fn clear(&mut self, process: id::Process) {
--- a/crates/tinbank-membership/src/state/mod.rs
+++ b/crates/tinbank-membership/src/state/mod.rs
@@ -5,8 +5,8 @@
 //! creates heartbeats. See `docs/design/membership.md`.
 
 mod event;
-mod receive;
 mod probe;
+mod receive;
 mod send;
 mod upstream;
 
@@ -91,7 +91,9 @@
         let mut actions = Vec::new();
         match event {
             Event::Tick => self.tick(now, &mut actions),
-            Event::Heartbeat { from, heartbeat } => self.on_heartbeat(from, *heartbeat, now, &mut actions),
+            Event::Heartbeat { from, heartbeat } => {
+                self.on_heartbeat(from, *heartbeat, now, &mut actions)
+            }
             Event::Phase(phase) => self.set_phase(phase, &mut actions),
             Event::Config(config) => self.set_config(config, &mut actions),
             Event::Load(load) => self.load = load,
--- a/crates/tinbank-membership/src/state/receive.rs
+++ b/crates/tinbank-membership/src/state/receive.rs
@@ -90,7 +90,12 @@
     }
 
     /// Applies an update about a third or the local process, and returns whether the change is urgent.
-    fn apply_update(&mut self, update: MemberUpdate, now: Instant, actions: &mut Vec<Action>) -> bool {
+    fn apply_update(
+        &mut self,
+        update: MemberUpdate,
+        now: Instant,
+        actions: &mut Vec<Action>,
+    ) -> bool {
         if update.member.process == self.own.writer.process {
             return self.refute(&update);
         }
@@ -102,8 +107,8 @@
     /// Refutes an update that the local process is suspect or dead. Returns whether it did.
     fn refute(&mut self, update: &MemberUpdate) -> bool {
         let suspected = matches!(update.health, Health::Suspect | Health::Dead);
-        let about_us =
-            update.member.incarnation == self.own.writer.incarnation || update.member.incarnation == 0;
+        let about_us = update.member.incarnation == self.own.writer.incarnation
+            || update.member.incarnation == 0;
         if !suspected || !about_us || update.refutation < self.refutation {
             return false;
         }
--- a/crates/tinbank-membership/src/state/upstream.rs
+++ b/crates/tinbank-membership/src/state/upstream.rs
@@ -45,7 +45,11 @@
         }
     }
 
-    pub(super) fn apply_leaving_upstream(&mut self, leaving: Leaving, actions: &mut Vec<Action>) -> bool {
+    pub(super) fn apply_leaving_upstream(
+        &mut self,
+        leaving: Leaving,
+        actions: &mut Vec<Action>,
+    ) -> bool {
         let known = self.upstreams.get(&leaving.upstream);
         let old = known.is_some_and(|known| known.list >= leaving.list);
         let full = known.is_none() && self.upstreams.len() >= MAX_UPSTREAMS;
--- a/crates/tinbank-membership/src/table.rs
+++ b/crates/tinbank-membership/src/table.rs
@@ -58,7 +58,12 @@
 
     /// Applies a record if it supersedes the known one, and returns whether it did. The death of an unknown process is
     /// ignored, so that a dead process that was removed is not gossiped back.
-    pub(crate) fn apply(&mut self, process: id::Process, record: MemberRecord, now: Instant) -> bool {
+    pub(crate) fn apply(
+        &mut self,
+        process: id::Process,
+        record: MemberRecord,
+        now: Instant,
+    ) -> bool {
         let known = self.rows.get_mut(&process);
         let health = record.health;
         match known {
@@ -98,7 +103,12 @@
 
     /// Merges the platform's host list. An unknown process is assumed to be as listed until its first heartbeat; for a
     /// known one only the listed state "leaving" counts, since the list lags.
-    pub(crate) fn merge_host_list(&mut self, members: &[hosts::Member], own: id::Process, now: Instant) {
+    pub(crate) fn merge_host_list(
+        &mut self,
+        members: &[hosts::Member],
+        own: id::Process,
+        now: Instant,
+    ) {
         for row in self.rows.values_mut() {
             row.listed = None;
         }
--- a/crates/tinbank-membership/tests/driver.rs
+++ b/crates/tinbank-membership/tests/driver.rs
@@ -76,7 +76,10 @@
     };
     b.upstream_leaving(leaving);
     let mut received = c.leaving();
-    received.wait_for(|known| **known == [leaving]).await.unwrap();
+    received
+        .wait_for(|known| **known == [leaving])
+        .await
+        .unwrap();
     b.leave().await;
 
     let left = |members: &Members| {
--- a/crates/tinbank-membership/tests/failures.rs
+++ b/crates/tinbank-membership/tests/failures.rs
@@ -37,7 +37,10 @@
     let took = network.until(Duration::from_secs(15), Network::agree);
     network.run(Duration::from_secs(30));
 
-    assert!(took > Duration::from_secs(2), "suspected before it was declared dead");
+    assert!(
+        took > Duration::from_secs(2),
+        "suspected before it was declared dead"
+    );
     assert!(network.agree());
     assert!(network.died.iter().all(|(_, dead)| *dead == online(5)));
 }
@@ -141,10 +144,7 @@
     today_with_loss = { 12, 10 },
     target = { 370, 0 },
 )]
-fn leaving_upstreams_and_processes_are_known_everywhere_within_two_seconds(
-    hosts: u32,
-    loss: u32,
-) {
+fn leaving_upstreams_and_processes_are_known_everywhere_within_two_seconds(hosts: u32, loss: u32) {
     let mut network = Network::listed(hosts, 41);
     network.run(Duration::from_secs(5));
     network.loss = loss;
--- a/crates/tinbank-membership/tests/naive.rs
+++ b/crates/tinbank-membership/tests/naive.rs
@@ -102,9 +102,17 @@
     let leaving = |network: &Network| network.state(online(1)).leaving();
 
     network.event(online(1), upstreams(5, hosts::State::Live));
-    assert_eq!(leaving(&network), [update], "the list that last had it live");
+    assert_eq!(
+        leaving(&network),
+        [update],
+        "the list that last had it live"
+    );
     network.event(online(1), upstreams(6, hosts::State::Leaving));
-    assert_eq!(leaving(&network), [update], "a later list that says the same");
+    assert_eq!(
+        leaving(&network),
+        [update],
+        "a later list that says the same"
+    );
     network.event(online(1), upstreams(7, hosts::State::Live));
     assert_eq!(leaving(&network), [], "a later list that has it live");
     network.event(online(1), Event::UpstreamLeaving(update));
--- a/crates/tinbank-membership/tests/network/mod.rs
+++ b/crates/tinbank-membership/tests/network/mod.rs
@@ -94,7 +94,10 @@
         }
         let limit = network.now + Duration::from_secs(180);
         while !network.agree() {
-            assert!(network.now < limit, "the processes did not discover each other");
+            assert!(
+                network.now < limit,
+                "the processes did not discover each other"
+            );
             network.run(Duration::from_secs(1));
         }
         network.sent_bytes = 0;
--- a/crates/tinbank-online/src/api/chat.rs
+++ b/crates/tinbank-online/src/api/chat.rs
@@ -45,7 +45,11 @@
     failure::answer(answered.map_err(answer::with_retry))
 }
 
-fn read(rqctx: &RequestContext<Shared>, id: id::Request, body: &[u8]) -> Result<ChatRequest, Failure> {
+fn read(
+    rqctx: &RequestContext<Shared>,
+    id: id::Request,
+    body: &[u8],
+) -> Result<ChatRequest, Failure> {
     let ctx = rqctx.context();
     check_ready(ctx)?;
     let headers = rqctx.request.headers();
--- a/crates/tinbank-online/src/request/caller.rs
+++ b/crates/tinbank-online/src/request/caller.rs
@@ -61,7 +61,11 @@
     }
 
     /// Resolves the service from the `Tinbank-Stream` header or the given name.
-    pub(crate) fn resolve_service(&self, name: Option<&str>, kind: Kind) -> Result<ResolvedService, Failure> {
+    pub(crate) fn resolve_service(
+        &self,
+        name: Option<&str>,
+        kind: Kind,
+    ) -> Result<ResolvedService, Failure> {
         let (name, stream_timeout) = self.service_name(name)?;
         let service = self.customer.services.get(&name).ok_or_else(|| {
             let message = format!("there is no service {name:?} for this customer");
--- a/crates/tinbank-online/src/request/chat.rs
+++ b/crates/tinbank-online/src/request/chat.rs
@@ -91,7 +91,10 @@
 }
 
 /// Sets `max_tokens` to the service's maximum if it is missing, and reports it if it is larger.
-fn limit_tokens(fields: &mut Map<String, Value>, resolved: &ResolvedService) -> Result<(), Failure> {
+fn limit_tokens(
+    fields: &mut Map<String, Value>,
+    resolved: &ResolvedService,
+) -> Result<(), Failure> {
     let allowed = u64::from(resolved.service.max_tokens);
     let requested = fields.get("max_tokens").and_then(Value::as_u64);
     let mut findings = Findings::default();
--- a/crates/tinbank-online/src/run/chat.rs
+++ b/crates/tinbank-online/src/run/chat.rs
@@ -49,7 +49,11 @@
 }
 
 impl Chat {
-    pub(crate) fn new(ctx: Arc<Context>, request: Arc<Request>, telemetry: RequestTelemetry) -> Self {
+    pub(crate) fn new(
+        ctx: Arc<Context>,
+        request: Arc<Request>,
+        telemetry: RequestTelemetry,
+    ) -> Self {
         Self {
             attempts: Attempts::new(request.repeatable, request.deadline),
             telemetry,
@@ -92,7 +96,9 @@
                     self.on_part(&part);
                     return Ok(part);
                 }
-                Err(AttemptError::NoUpstream(refusal)) => return Err(self.attempts.exhausted(refusal)),
+                Err(AttemptError::NoUpstream(refusal)) => {
+                    return Err(self.attempts.exhausted(refusal));
+                }
                 Err(AttemptError::Upstream(error)) => self.on_attempt_failed(&error)?,
             }
         }
@@ -188,7 +194,9 @@
         ran: Ran::Unknown,
         kind,
     };
-    let until = running.stall_timeout.next_part_deadline(deadline, clock::now());
+    let until = running
+        .stall_timeout
+        .next_part_deadline(deadline, clock::now());
     let next = timeout_at(until.into(), running.parts.next()).await;
     let part = match next {
         Err(_) => return Err(timeout_error(upstream, until, deadline)),
--- a/crates/tinbank-online/src/run/claim.rs
+++ b/crates/tinbank-online/src/run/claim.rs
@@ -150,7 +150,12 @@
 
 /// Sends a frame to the owner of a key's shard until it answers. Claims are idempotent by request id and claimer, so
 /// repeats are safe. Returns `None` if there was no final answer in time.
-async fn ask_owner(ctx: &Context, key: claim::Key, frame: &Frame, until: Instant) -> Option<Response> {
+async fn ask_owner(
+    ctx: &Context,
+    key: claim::Key,
+    frame: &Frame,
+    until: Instant,
+) -> Option<Response> {
     let shard = placement::shard_of_claim(key, ctx.shards);
     loop {
         if let Some(answer) = ask_members(ctx, shard, frame, until).await {
@@ -164,7 +169,12 @@
 }
 
 /// Asks the shard's candidate owners in order of rank, and the owners that they name, until one gives a final answer.
-async fn ask_members(ctx: &Context, shard: id::Shard, frame: &Frame, until: Instant) -> Option<Response> {
+async fn ask_members(
+    ctx: &Context,
+    shard: id::Shard,
+    frame: &Frame,
+    until: Instant,
+) -> Option<Response> {
     let members = ctx.directory.members();
     let mut waiting = owner_candidates(&members, shard);
     let mut contacted: SmallVec<[SocketAddr; 4]> = SmallVec::new();
--- a/crates/tinbank-online/src/run/mod.rs
+++ b/crates/tinbank-online/src/run/mod.rs
@@ -4,9 +4,9 @@
 pub(crate) mod chat;
 mod claim;
 pub(crate) mod claimed;
-mod telemetry;
-mod stall_timeout;
 pub(crate) mod plain;
+mod stall_timeout;
+mod telemetry;
 
 pub(crate) use attempt::Attempt;
 pub(crate) use telemetry::RequestTelemetry;
--- a/crates/tinbank-online/src/run/tests/chat.rs
+++ b/crates/tinbank-online/src/run/tests/chat.rs
@@ -8,7 +8,7 @@
 };
 use yare::parameterized;
 
-use super::fixture::{After, Fixture, Script, TOKENS, read_to_end, request, expected_text};
+use super::fixture::{After, Fixture, Script, TOKENS, expected_text, read_to_end, request};
 
 fn connect() -> Script {
     Script::Fail(Kind::Connect("scripted".to_owned()), Ran::No)
@@ -206,7 +206,10 @@
     let received = read_to_end(&mut chat).await;
     fixture.wait_for_tasks().await;
 
-    assert_eq!((received.text, received.end), (expected_text(), Some(TOKENS)));
+    assert_eq!(
+        (received.text, received.end),
+        (expected_text(), Some(TOKENS))
+    );
     let calls = fixture.upstreams.calls();
     assert_eq!((calls.len(), calls[1].resume_from), (2, passed_on));
     assert_eq!(
@@ -218,14 +221,19 @@
 #[tokio::test(start_paused = true)]
 async fn a_non_repeatable_request_at_a_hanging_engine_times_out_and_is_cancelled() {
     let fixture = Fixture::new(3, 0);
-    fixture.upstreams.script_next(Script::Tokens(2, After::Hang));
+    fixture
+        .upstreams
+        .script_next(Script::Tokens(2, After::Hang));
     let mut chat = fixture.chat(request(false));
     let began = tokio::time::Instant::now();
 
     let received = read_to_end(&mut chat).await;
     fixture.wait_for_tasks().await;
 
-    assert_eq!(received.failure.map(|failure| failure.code), Some(Code::Timeout));
+    assert_eq!(
+        received.failure.map(|failure| failure.code),
+        Some(Code::Timeout)
+    );
     assert!(began.elapsed() <= Duration::from_secs(11));
     assert_eq!(fixture.upstreams.cancels().len(), 1);
 }
@@ -233,7 +241,9 @@
 #[tokio::test(start_paused = true)]
 async fn an_invalid_attempt_is_cancelled_when_the_stream_resumes_elsewhere() {
     let fixture = Fixture::new(2, 0);
-    fixture.upstreams.script_next(Script::Tokens(3, After::Token(7)));
+    fixture
+        .upstreams
+        .script_next(Script::Tokens(3, After::Token(7)));
     let mut chat = fixture.chat(request(true));
 
     read_to_end(&mut chat).await;
--- a/crates/tinbank-online/src/run/tests/claimed.rs
+++ b/crates/tinbank-online/src/run/tests/claimed.rs
@@ -13,7 +13,7 @@
 use tokio::sync::mpsc;
 use yare::parameterized;
 
-use super::fixture::{After, Fixture, Script, TOKENS, peer_address, request, expected_text};
+use super::fixture::{After, Fixture, Script, TOKENS, expected_text, peer_address, request};
 use crate::{openai::Completion, request::Request, run::claimed};
 
 const KEY: &str = "order-7";
@@ -181,10 +181,9 @@
 #[tokio::test(start_paused = true)]
 async fn an_unknown_outcome_is_stored() {
     let fixture = Fixture::new(2, 1);
-    fixture.upstreams.script_next(Script::Fail(
-        Kind::Cut("scripted".to_owned()),
-        Ran::Unknown,
-    ));
+    fixture
+        .upstreams
+        .script_next(Script::Fail(Kind::Cut("scripted".to_owned()), Ran::Unknown));
     fixture.peers.push_answer(Response::Claimed(Claimed::Won));
     fixture.peers.push_answer(Response::Settled(true));
 
--- a/crates/tinbank-online/src/run/tests/storm.rs
+++ b/crates/tinbank-online/src/run/tests/storm.rs
@@ -10,7 +10,9 @@
     const REQUESTS: u64 = 500;
     let fixture = Fixture::new(6, 0);
     let kind = Kind::Cut("scripted".to_owned());
-    fixture.upstreams.script_all(Script::Fail(kind, Ran::Unknown));
+    fixture
+        .upstreams
+        .script_all(Script::Fail(kind, Ran::Unknown));
 
     for _ in 0..REQUESTS {
         read_to_end(&mut fixture.chat(request(true))).await;
--- a/crates/tinbank-online/tests/claimed.rs
+++ b/crates/tinbank-online/tests/claimed.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use serde_json::{Value, json};
-use support::{ClusterOptions, Cluster, call, chat, chat_body, wait_until, expected_text};
+use support::{Cluster, ClusterOptions, call, chat, chat_body, expected_text, wait_until};
 
 fn batch_options() -> ClusterOptions {
     ClusterOptions {
@@ -16,7 +16,11 @@
 }
 
 /// Retries until the claims have an owner. A refusal guarantees that nothing ran, so a retry is safe.
-async fn call_when_owned(cluster: &Cluster, headers: &[(&str, &str)], body: &Value) -> (u16, Value) {
+async fn call_when_owned(
+    cluster: &Cluster,
+    headers: &[(&str, &str)],
+    body: &Value,
+) -> (u16, Value) {
     for _ in 0..60 {
         let answer = call(cluster.address(), headers, body).await;
         let status = answer.status.as_u16();
--- a/crates/tinbank-online/tests/refused.rs
+++ b/crates/tinbank-online/tests/refused.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use serde_json::{Value, json};
-use support::{ClusterOptions, Cluster, call, chat, post, chat_body, wait_until};
+use support::{Cluster, ClusterOptions, call, chat, chat_body, post, wait_until};
 use yare::parameterized;
 
 const CHAT: &str = "/v1/chat/completions";
@@ -110,10 +110,14 @@
     let cluster = Cluster::start(ClusterOptions::default()).await;
     let headers = [("idempotency-key", "k-1"), ("tinbank-timeout-ms", "300")];
 
-    let answer = call(cluster.address(), &headers, &json!({ "reference": "truck" }))
-        .await
-        .json()
-        .await;
+    let answer = call(
+        cluster.address(),
+        &headers,
+        &json!({ "reference": "truck" }),
+    )
+    .await
+    .json()
+    .await;
 
     assert_eq!(
         (&answer["code"], &answer["ran"]),
--- a/crates/tinbank-online/tests/stop.rs
+++ b/crates/tinbank-online/tests/stop.rs
@@ -4,7 +4,7 @@
 
 use std::time::Instant;
 
-use support::{ClusterOptions, Cluster, chat, chat_body, streamed_body, wait_until, expected_text};
+use support::{Cluster, ClusterOptions, chat, chat_body, expected_text, streamed_body, wait_until};
 use tinbank_base::frame::heartbeat::Leaving;
 use tinbank_online::Server;
 
--- a/crates/tinbank-online/tests/stream.rs
+++ b/crates/tinbank-online/tests/stream.rs
@@ -3,7 +3,9 @@
 mod support;
 
 use serde_json::{Value, json};
-use support::{NOTES, ClusterOptions, Cluster, chat, chat_body, streamed_body, wait_until, expected_text};
+use support::{
+    Cluster, ClusterOptions, NOTES, chat, chat_body, expected_text, streamed_body, wait_until,
+};
 use tinbank_standin::account::End;
 use yare::parameterized;
 
--- a/crates/tinbank-online/tests/support/mod.rs
+++ b/crates/tinbank-online/tests/support/mod.rs
@@ -85,7 +85,9 @@
             };
             let platform = platform(&log, list, &settings.common);
             let server = tinbank_batch::Server::start_with(settings, platform).await;
-            cluster.batch.push(server.expect("the batch process starts"));
+            cluster
+                .batch
+                .push(server.expect("the batch process starts"));
         }
         for host in 1..=options.servers {
             let settings = Settings {
